--- a/src/script/script.h
+++ b/src/script/script.h
@@ -52,7 +52,7 @@
   std::string name;
   std::map<int, Played> played;
   std::map<std::string, int> setUps;  // by whole title, as counted at the nodes
-  std::uint64_t asks = 0;  // sent; 0 where that was not counted
+  std::uint64_t asks = 0;             // sent; 0 where that was not counted
 };
 struct Finding {
   std::string title, what;
