--- a/src/history/play.cpp
+++ b/src/history/play.cpp
@@ -555,7 +555,7 @@
   const JoinKey key = s->join;
   if (!n.lose) {
     const double link = world_.load(n.id, 0).link;
-    answer(*s, [this, key, link, silent = n.silent](Director& d) {
+    answer(*s, [key, link, silent = n.silent](Director& d) {
       if (!d.joins.contains(key)) return;
       d.front->began(key);
       if (!silent) d.front->noted(key, Reading::link, link);
--- a/src/roster/dns.cpp
+++ b/src/roster/dns.cpp
@@ -42,7 +42,7 @@
 bool recordAt(ns_msg& message, ns_sect section, int place, Record& into) {
   ns_rr rr;
   if (ns_parserr(&message, section, place, &rr) != 0) return false;
-  into = {lower(ns_rr_name(rr)), ns_rr_type(rr), ns_rr_rdata(rr), ns_rr_rdlen(rr)};
+  into = {lower(ns_rr_name(rr)), ns_rr_type(rr), ns_rr_rdata(rr), static_cast<std::size_t>(ns_rr_rdlen(rr))};
   return true;
 }
 
--- a/src/terms/terms.cpp
+++ b/src/terms/terms.cpp
@@ -47,7 +47,7 @@
     if (const Json* v = itemIn(listIn(domain, "seats"), place))
       room.seats = static_cast<int>(wholeIn(*v, "seats", 0, 1'000'000'000));
     names.roomTypes.push_back(name);
-    terms.roomTypes.push_back(std::move(room));
+    terms.roomTypes.push_back(room);
   }
   for (const Json& item : listIn(options, "parties")) {
     if (!item.is_object()) bad("parties", "not an object");
--- a/tests/inquiry_test.cpp
+++ b/tests/inquiry_test.cpp
@@ -21,11 +21,11 @@
   const std::uint16_t first = inquiry.ask(now);
   CHECK(inquiry.due() <= now + 200 * ms);
   now = inquiry.due();
-  const std::uint16_t second_ = inquiry.ask(now);
-  CHECK(first != second_);
+  const std::uint16_t secondQuery = inquiry.ask(now);
+  CHECK(first != secondQuery);
   CHECK(inquiry.expects(first));  // late, and still one of ours
   CHECK(!inquiry.expects(first));
-  CHECK(!inquiry.expects(static_cast<std::uint16_t>(second_ + 1)));
+  CHECK(!inquiry.expects(static_cast<std::uint16_t>(secondQuery + 1)));
   inquiry.heard(now);
   CHECK(inquiry.due() >= now + 200 * ms);
   CHECK(inquiry.due() <= now + second);
--- a/tests/ledger_test.cpp
+++ b/tests/ledger_test.cpp
@@ -16,13 +16,13 @@
   Ledger ledger(60 * second, 10, true);
   const Digest a = digestOf("a"), b = digestOf("b");
   const Seq first = ledger.intend(0, a);
-  const Seq second_ = ledger.intend(0, b);
+  const Seq secondIntent = ledger.intend(0, b);
   CHECK_FALSE(ledger.isDurable(first));
   ledger.mark(0, a, Mark::played);
   const auto writes = ledger.takeWrites();
   REQUIRE(writes.size() == 2);
   CHECK(writes[0].record.mark == Mark::played);
-  ledger.durable(second_);
+  ledger.durable(secondIntent);
   CHECK(ledger.isDurable(first));
   CHECK(ledger.takeWrites().empty());
 }
