--- a/bench/ledger.cpp
+++ b/bench/ledger.cpp
@@ -31,7 +31,7 @@
     const Micros start = net::monotonicNow();
     ledger::Seq last = 0;
     for (int i = 0; i < records; ++i) {
-      last = ledger.intend(net::monotonicNow(), ledger::digestOf("key " + std::to_string(i)));
+      last = ledger.recordIntent(net::monotonicNow(), ledger::digestOf("key " + std::to_string(i)));
       if (i % batch == batch - 1) store.write(ledger.takeWrites());
     }
     store.write(ledger.takeWrites());
--- a/bench/load.cpp
+++ b/bench/load.cpp
@@ -105,18 +105,18 @@
 
 // All players and all nodes, in this one process.
 struct Peers {
-  net::Base base{event_base_new()};
+  net::EventBase base{event_base_new()};
   std::vector<net::Listener> listeners;
   std::vector<int> ports;
   struct Link {
     Peers* peers;
-    net::Bev bev;
+    net::BufferEvent bufferEvent;
     media::Reader reader;
     int sessions = 0;
   };
   std::vector<std::unique_ptr<Link>> links;
 
-  struct Player final : websocket::Channel::Ear {
+  struct Player final : websocket::Channel::Handler {
     Peers* peers = nullptr;
     std::unique_ptr<websocket::Channel> channel;
     bool open = false;
@@ -145,14 +145,14 @@
     net::noDelay(fd);
     auto link = std::make_unique<Link>();
     link->peers = &peers;
-    link->bev.reset(bufferevent_socket_new(peers.base.get(), fd, BEV_OPT_CLOSE_ON_FREE));
-    bufferevent_setcb(link->bev.get(), read, nullptr, nullptr, link.get());
-    bufferevent_enable(link->bev.get(), EV_READ | EV_WRITE);
+    link->bufferEvent.reset(bufferevent_socket_new(peers.base.get(), fd, BEV_OPT_CLOSE_ON_FREE));
+    bufferevent_setcb(link->bufferEvent.get(), read, nullptr, nullptr, link.get());
+    bufferevent_enable(link->bufferEvent.get(), EV_READ | EV_WRITE);
     peers.links.push_back(std::move(link));
   }
-  static void read(bufferevent* bev, void* me) {
+  static void read(bufferevent* bufferEvent, void* me) {
     Link& link = *static_cast<Link*>(me);
-    evbuffer* input = bufferevent_get_input(bev);
+    evbuffer* input = bufferevent_get_input(bufferEvent);
     std::string bytes(evbuffer_get_length(input), '\0');
     evbuffer_remove(input, bytes.data(), bytes.size());
     link.reader.feed(bytes);
@@ -173,7 +173,7 @@
                                  "TEXT application_utilization=0.3000, named_metrics.uplink=0.3000");
       out += reply.bytes();
     }
-    evbuffer_add(bufferevent_get_output(bev), out.data(), out.size());
+    evbuffer_add(bufferevent_get_output(bufferEvent), out.data(), out.size());
   }
   void open(const Program& program, std::size_t count) {
     opened = lost = 0;
@@ -200,7 +200,7 @@
   }
   void ask() {
     Player& player = *players[next++ % players.size()];
-    websocket::AskMessage ask;
+    websocket::PlayMessage ask;
     ask.id = ask.key = "a" + std::to_string(next);
     ask.viewer = "v" + std::to_string(next % 50'000);
     ask.title = "t" + std::to_string(next % 500);
@@ -211,13 +211,13 @@
   }
   void answered(Player& player, std::string_view text) {
     const websocket::AnswerMessage answer = websocket::readAnswer(text);
-    if (answer.said == websocket::Said::rung || answer.said == websocket::Said::ended) return;
+    if (answer.kind == websocket::AnswerKind::rung || answer.kind == websocket::AnswerKind::ended) return;
     const auto it = sent.find(answer.id);
     if (it == sent.end()) return;
     answerTimes.push_back(net::monotonicNow() - it->second);
     sent.erase(it);
     ++answers;
-    if (answer.said != websocket::Said::playing) return;
+    if (answer.kind != websocket::AnswerKind::playing) return;
     ++playing;
     player.channel->sendText(websocket::textOf(websocket::LeaveMessage{answer.id}));
   }
--- a/client/core/core.cpp
+++ b/client/core/core.cpp
@@ -32,10 +32,10 @@
   return "?";
 }
 
-Core::Core(std::vector<DirectorAt> directors, Manners manners, std::uint64_t seed)
+Core::Core(std::vector<DirectorEndpoint> directors, RetryPolicy manners, std::uint64_t seed)
     : manners_(std::move(manners)),
       chance_(static_cast<std::minstd_rand::result_type>(seed % 2147483646 + 1)) {
-  for (DirectorAt& at : directors) directors_.push_back({std::move(at), 0, 0});
+  for (DirectorEndpoint& at : directors) directors_.push_back({std::move(at), 0, 0});
 }
 
 Micros Core::jitter(Micros most) {
@@ -50,7 +50,7 @@
 
 Micros Core::due() const { return due_.empty() ? never : due_.begin()->first; }
 
-Core::Held* Core::byTry(TryId attempt) {
+Core::Held* Core::byTry(AttemptId attempt) {
   const auto it = tries_.find(attempt);
   if (it == tries_.end()) return nullptr;
   return &held_.at(it->second);
@@ -58,9 +58,9 @@
 
 // ---- events ----
 
-void Core::want(Micros now, const Wish& wish, std::vector<Act>& acts) {
+void Core::submit(Micros now, const Request& wish, std::vector<Action>& acts) {
   if (held_.contains(wish.id)) return;
-  ++counts_.wishes;
+  ++statistics_.requests;
   Held& held = held_[wish.id];
   held.wish = wish;
   held.endsAt = now + wish.timeout;
@@ -69,21 +69,21 @@
   go(now, held, acts);
 }
 
-void Core::cancel(Micros, WishId wish, std::vector<Act>& acts) {
+void Core::cancel(Micros, RequestId wish, std::vector<Action>& acts) {
   const auto it = held_.find(wish);
   if (it != held_.end()) end(it->second, Result::cancelled, 0, 0, acts);
 }
 
-Sending Core::sending(Micros now, TryId attempt, const std::string& director) {
+SendParameters Core::beginSend(Micros now, AttemptId attempt, const std::string& director) {
   Held* held = byTry(attempt);
   if (held == nullptr || held->sentNow) return {};
-  Sending out;
+  SendParameters out;
   if (held->sentTo.empty()) {
     held->keySent = director + ":" + held->wish.key;
     held->firstSentAt = now;
   } else {
-    out.again = held->sentTo;
-    out.againAge = now - held->firstSentAt;
+    out.previousDirector = held->sentTo;
+    out.sinceFirstSent = now - held->firstSentAt;
   }
   out.key = held->keySent;
   // Guards against a director that answers after the client gave up: it is told how long there is.
@@ -96,7 +96,7 @@
   return out;
 }
 
-void Core::failed(Micros now, TryId attempt, std::vector<Act>& acts, bool unread) {
+void Core::failed(Micros now, AttemptId attempt, std::vector<Action>& acts, bool unread) {
   Held* held = byTry(attempt);
   if (held == nullptr) return;
   tries_.erase(attempt);
@@ -111,8 +111,8 @@
     wait(now, *held, 0, acts);
 }
 
-void Core::answered(Micros now, TryId attempt, Answer answer, Micros retryAfter, bool directorDrains,
-                    std::vector<Act>& acts) {
+void Core::answered(Micros now, AttemptId attempt, Answer answer, Micros retryAfter, bool directorDrains,
+                    std::vector<Action>& acts) {
   Held* held = byTry(attempt);
   if (held == nullptr) return;
   tries_.erase(attempt);
@@ -133,9 +133,9 @@
   wait(now, *held, retryAfter, acts);
 }
 
-void Core::tick(Micros now, std::vector<Act>& acts) {
+void Core::tick(Micros now, std::vector<Action>& acts) {
   while (!due_.empty() && due_.begin()->first <= now) {
-    const WishId id = due_.begin()->second;
+    const RequestId id = due_.begin()->second;
     due_.erase(due_.begin());
     const auto it = held_.find(id);
     if (it == held_.end()) continue;
@@ -154,7 +154,7 @@
     // An unsafe ask that may have been taken is never called off: its answer is the only one there is.
     if (held.wish.unsafe && held.sentNow) continue;
     // Guards against a director that takes connections and says nothing on them.
-    acts.push_back(Abandon{held.attempt});
+    acts.push_back(AbandonAttempt{held.attempt});
     failed(now, held.attempt, acts);
   }
 }
@@ -166,13 +166,13 @@
   return held.sentOnce ? Result::throttled : Result::unreachable;
 }
 
-void Core::end(Held& held, Result result, std::size_t director, Micros comeBack, std::vector<Act>& acts) {
+void Core::end(Held& held, Result result, std::size_t director, Micros comeBack, std::vector<Action>& acts) {
   if (held.state == State::trying) {
-    acts.push_back(Abandon{held.attempt});
+    acts.push_back(AbandonAttempt{held.attempt});
     tries_.erase(held.attempt);
   }
-  const WishId id = held.wish.id;
-  acts.push_back(Give{id, result, director, comeBack});
+  const RequestId id = held.wish.id;
+  acts.push_back(ReportResult{id, result, director, comeBack});
   held_.erase(id);
 }
 
@@ -180,7 +180,7 @@
   forget(firsts_, now - manners_.budgetWindow);
   forget(furthers_, now - manners_.budgetWindow);
   if (static_cast<double>(furthers_.size()) + 1 >
-      manners_.budgetFew + manners_.budgetShare * static_cast<double>(firsts_.size()))
+      manners_.minRetries + manners_.budgetShare * static_cast<double>(firsts_.size()))
     return false;
   furthers_.push_back(now);
   return true;
@@ -189,9 +189,9 @@
 void Core::shun(Micros now, std::size_t director, Micros least) {
   if (director >= directors_.size()) return;
   Known& known = directors_[director];
-  const Micros span = std::min(manners_.shunMost, manners_.shunLeast << std::min(20, known.failures));
+  const Micros span = std::min(manners_.maxEjection, manners_.minEjection << std::min(20, known.failures));
   ++known.failures;
-  ++counts_.shunned;
+  ++statistics_.ejections;
   // Half of it by chance: all clients saw the same failure at the same time.
   known.shunUntil = std::max(known.shunUntil, now + std::max(least, span / 2 + jitter(span / 2)));
 }
@@ -220,7 +220,7 @@
   return true;
 }
 
-void Core::go(Micros now, Held& held, std::vector<Act>& acts) {
+void Core::go(Micros now, Held& held, std::vector<Action>& acts) {
   if (held.endsAt - now < leastTime) return end(held, lastWord(held), held.director, 0, acts);
   if (held.notBefore > now) return note(held, held.notBefore);
   std::size_t director = 0;
@@ -228,16 +228,16 @@
   if (!choose(now, held, director, freeAt)) {
     // Nobody to ask within its time is told at once, with the time at which it makes sense to come back.
     if (freeAt > held.endsAt - leastTime)
-      return end(held, lastWord(held), held.director, freeAt == never ? manners_.waitMost : freeAt - now,
+      return end(held, lastWord(held), held.director, freeAt == never ? manners_.maxBackoff : freeAt - now,
                  acts);
     return note(held, freeAt);
   }
-  if (held.tries >= manners_.triesMost || (held.tries > 0 && !spend(now))) {
-    if (held.tries < manners_.triesMost) ++counts_.budgetRefused;
-    return end(held, lastWord(held), held.director, manners_.waitLeast << std::min(7, held.waits), acts);
+  if (held.tries >= manners_.maxAttempts || (held.tries > 0 && !spend(now))) {
+    if (held.tries < manners_.maxAttempts) ++statistics_.budgetRefused;
+    return end(held, lastWord(held), held.director, manners_.minBackoff << std::min(7, held.waits), acts);
   }
-  if (held.tries++ > 0) ++counts_.furtherTries;
-  ++counts_.tries;
+  if (held.tries++ > 0) ++statistics_.retries;
+  ++statistics_.attempts;
   held.state = State::trying;
   held.director = director;
   held.boundBefore = held.bound;
@@ -246,14 +246,14 @@
   held.attempt = ++next_;
   tries_[held.attempt] = held.wish.id;
   const Micros left = held.endsAt - now;
-  if (manners_.tryMost < left) note(held, now + manners_.tryMost);
-  acts.push_back(Try{held.wish.id, held.attempt, director, held.wish.key, left});
+  if (manners_.attemptTimeout < left) note(held, now + manners_.attemptTimeout);
+  acts.push_back(StartAttempt{held.wish.id, held.attempt, director, held.wish.key, left});
 }
 
 // Full jitter over a span that doubles, after what the answer asked for: a crowd refused together does not
 // come back together.
-void Core::wait(Micros now, Held& held, Micros least, std::vector<Act>& acts) {
-  const Micros span = std::min(manners_.waitMost, manners_.waitLeast << std::min(20, held.waits));
+void Core::wait(Micros now, Held& held, Micros least, std::vector<Action>& acts) {
+  const Micros span = std::min(manners_.maxBackoff, manners_.minBackoff << std::min(20, held.waits));
   ++held.waits;
   const Micros at = now + least + jitter(span);
   held.notBefore = now + least;
--- a/client/core/core.h
+++ b/client/core/core.h
@@ -26,30 +26,31 @@
 namespace lupinsill::client {
 
 using Micros = std::int64_t;
-using WishId = std::uint64_t;
-using TryId = std::uint64_t;
+using RequestId = std::uint64_t;
+using AttemptId = std::uint64_t;
 
-struct DirectorAt {
+struct DirectorEndpoint {
   std::string address;  // host:port, as the transport reads it
   std::string building;
 };
 
 // How a client behaves; the defaults suit an app that a person waits in front of.
-struct Manners {
-  std::string building;        // its own
-  Micros waitLeast = 100'000;  // the first wait where nobody said how long; doubles
-  Micros waitMost = 16'000'000;
-  int budgetFew = 3;         // tries beyond the first, in a window
+struct RetryPolicy {
+  std::string building;         // its own
+  Micros minBackoff = 100'000;  // the first wait where nobody said how long; doubles
+  Micros maxBackoff = 16'000'000;
+  int minRetries = 3;        // tries beyond the first, in a window
   double budgetShare = 0.2;  // and this share of first tries
   Micros budgetWindow = 10'000'000;
-  Micros shunLeast = 500'000;  // a director that failed; doubles each time
-  Micros shunMost = 30'000'000;
-  Micros tryMost = 3'000'000;  // a try that is unsent, or safe and unanswered, is given up on after this
-  int triesMost = 6;           // of one wish
+  Micros minEjection = 500'000;  // a director that failed; doubles each time
+  Micros maxEjection = 30'000'000;
+  Micros attemptTimeout =
+      3'000'000;        // a try that is unsent, or safe and unanswered, is given up on after this
+  int maxAttempts = 6;  // of one wish
 };
 
-struct Wish {
-  WishId id = 0;
+struct Request {
+  RequestId id = 0;
   std::string key;      // unique to the wish
   bool unsafe = false;  // must not be set up twice
   Micros timeout = 0;   // shared by all its tries
@@ -72,66 +73,66 @@
 const char* nameOf(Result result);
 
 // Acts.
-struct Try {  // ask `director` (place in the list) for `wish`
-  WishId wish;
-  TryId attempt;
+struct StartAttempt {  // ask `director` (place in the list) for `wish`
+  RequestId request;
+  AttemptId attempt;
   std::size_t director;
   std::string key;
   Micros timeLeft;
 };
-struct Abandon {  // close what belongs to this try; its answer is of no use any more
-  TryId attempt;
+struct AbandonAttempt {  // close what belongs to this try; its answer is of no use any more
+  AttemptId attempt;
 };
-struct Give {  // the wish's one result
-  WishId wish;
+struct ReportResult {  // the wish's one result
+  RequestId request;
   Result result;
   std::size_t director;  // that answered, where one did
-  Micros comeBackAfter;  // 0: at will
+  Micros retryAfter;     // 0: at will
 };
-using Act = std::variant<Try, Abandon, Give>;
+using Action = std::variant<StartAttempt, AbandonAttempt, ReportResult>;
 
-struct Counts {
-  std::uint64_t wishes = 0, tries = 0, furtherTries = 0, budgetRefused = 0, shunned = 0;
+struct Statistics {
+  std::uint64_t requests = 0, attempts = 0, retries = 0, budgetRefused = 0, ejections = 0;
 };
 
 // What an ask carries besides the wish itself (docs/protocol). A key is for one director; one that throttled
 // is done with it, and the next gets a key of its own.
-struct Sending {
+struct SendParameters {
   std::string key;
-  std::string again;               // the director the key was sent to before; empty: none
-  std::optional<Micros> againAge;  // how long ago that was first
-  Micros timeLeft = 0;             // of the wish
+  std::string previousDirector;          // the director the key was sent to before; empty: none
+  std::optional<Micros> sinceFirstSent;  // how long ago that was first
+  Micros timeLeft = 0;                   // of the wish
 };
 
 class Core {
  public:
-  Core(std::vector<DirectorAt> directors, Manners manners, std::uint64_t seed);
+  Core(std::vector<DirectorEndpoint> directors, RetryPolicy manners, std::uint64_t seed);
 
-  void want(Micros now, const Wish& wish, std::vector<Act>& acts);
-  void cancel(Micros now, WishId wish, std::vector<Act>& acts);
+  void submit(Micros now, const Request& wish, std::vector<Action>& acts);
+  void cancel(Micros now, RequestId wish, std::vector<Action>& acts);
   // The connection stands and names its director: what the ask has to say of itself. From now on it may be
   // taken. Empty key: the try is over, and nothing is to be sent.
-  Sending sending(Micros now, TryId attempt, const std::string& director);
+  SendParameters beginSend(Micros now, AttemptId attempt, const std::string& director);
   // The try ended without an answer: never sent (no connection), or lost after sending. `unread`: the other
   // side has proved that it never read the ask (RFC 9113: a stream over GOAWAY's last one, or
   // REFUSED_STREAM).
-  void failed(Micros now, TryId attempt, std::vector<Act>& acts, bool unread = false);
-  void answered(Micros now, TryId attempt, Answer answer, Micros retryAfter, bool directorDrains,
-                std::vector<Act>& acts);
-  void tick(Micros now, std::vector<Act>& acts);
+  void failed(Micros now, AttemptId attempt, std::vector<Action>& acts, bool unread = false);
+  void answered(Micros now, AttemptId attempt, Answer answer, Micros retryAfter, bool directorDrains,
+                std::vector<Action>& acts);
+  void tick(Micros now, std::vector<Action>& acts);
   // When to tick though nothing happens; the largest time where nothing is due.
   Micros due() const;
-  const Counts& counts() const { return counts_; }
+  const Statistics& statistics() const { return statistics_; }
 
  private:
   enum class State { waiting, trying };
   struct Held {
-    Wish wish;
+    Request wish;
     State state = State::waiting;
     Micros endsAt = 0;
     Micros wakeAt = 0;  // waiting: when to try; trying: when to give this try up
     Micros notBefore = 0;
-    TryId attempt = 0;
+    AttemptId attempt = 0;
     std::size_t director = 0;
     std::string bound;         // the director that may have taken it, by address; empty: none
     std::string boundBefore;   // this try
@@ -145,31 +146,31 @@
     bool sentOnce = false;
   };
   struct Known {
-    DirectorAt at;
+    DirectorEndpoint at;
     Micros shunUntil = 0;
     int failures = 0;
   };
-  void go(Micros now, Held& held, std::vector<Act>& acts);
-  void wait(Micros now, Held& held, Micros least, std::vector<Act>& acts);
-  void end(Held& held, Result result, std::size_t director, Micros comeBack, std::vector<Act>& acts);
+  void go(Micros now, Held& held, std::vector<Action>& acts);
+  void wait(Micros now, Held& held, Micros least, std::vector<Action>& acts);
+  void end(Held& held, Result result, std::size_t director, Micros comeBack, std::vector<Action>& acts);
   Result lastWord(const Held& held) const;
   bool choose(Micros now, const Held& held, std::size_t& director, Micros& freeAt);
   bool spend(Micros now);
   void shun(Micros now, std::size_t director, Micros least);
-  Held* byTry(TryId attempt);
+  Held* byTry(AttemptId attempt);
   Micros jitter(Micros most);
   void note(Held& held, Micros at);
 
-  Manners manners_;
+  RetryPolicy manners_;
   std::minstd_rand chance_;
   std::vector<Known> directors_;
-  std::map<WishId, Held> held_;
-  std::map<TryId, WishId> tries_;
-  std::multimap<Micros, WishId> due_;
+  std::map<RequestId, Held> held_;
+  std::map<AttemptId, RequestId> tries_;
+  std::multimap<Micros, RequestId> due_;
   std::deque<Micros> firsts_;
   std::deque<Micros> furthers_;
-  TryId next_ = 0;
-  Counts counts_;
+  AttemptId next_ = 0;
+  Statistics statistics_;
 };
 
 }  // namespace lupinsill::client
--- a/client/core/core.ts
+++ b/client/core/core.ts
@@ -5,38 +5,38 @@
 
 export type Micros = number;
 
-export interface DirectorAt {
+export interface DirectorEndpoint {
   address: string;
   building: string;
 }
 
-export interface Manners {
+export interface RetryPolicy {
   building: string;
-  waitLeast: Micros;
-  waitMost: Micros;
-  budgetFew: number;
+  minBackoff: Micros;
+  maxBackoff: Micros;
+  minRetries: number;
   budgetShare: number;
   budgetWindow: Micros;
-  shunLeast: Micros;
-  shunMost: Micros;
-  tryMost: Micros;
-  triesMost: number;
+  minEjection: Micros;
+  maxEjection: Micros;
+  attemptTimeout: Micros;
+  maxAttempts: number;
 }
 
-export const usualManners: Manners = {
+export const defaultRetryPolicy: RetryPolicy = {
   building: "",
-  waitLeast: 100_000,
-  waitMost: 16_000_000,
-  budgetFew: 3,
+  minBackoff: 100_000,
+  maxBackoff: 16_000_000,
+  minRetries: 3,
   budgetShare: 0.2,
   budgetWindow: 10_000_000,
-  shunLeast: 500_000,
-  shunMost: 30_000_000,
-  tryMost: 3_000_000,
-  triesMost: 6,
+  minEjection: 500_000,
+  maxEjection: 30_000_000,
+  attemptTimeout: 3_000_000,
+  maxAttempts: 6,
 };
 
-export interface Wish {
+export interface Request {
   id: number;
   key: string;
   unsafe: boolean;
@@ -47,13 +47,13 @@
 export type Answer = "playing" | "throttled" | "terminated" | "wrong";
 export type Result = "playing" | "throttled" | "terminated" | "unknown" | "unreachable" | "cancelled";
 
-export type Act =
-  | { act: "try"; wish: number; attempt: number; director: number; key: string; timeLeft: Micros }
+export type Action =
+  | { act: "try"; request: number; attempt: number; director: number; key: string; timeLeft: Micros }
   | { act: "abandon"; attempt: number }
-  | { act: "give"; wish: number; result: Result; director: number; comeBackAfter: Micros };
+  | { act: "give"; request: number; result: Result; director: number; retryAfter: Micros };
 
 // What an ask carries besides the wish itself; see core.h.
-export interface Sending {
+export interface SendParameters {
   key: string;
   again: string;
   againAge: Micros | undefined;
@@ -65,7 +65,7 @@
 const noPlace = -1;
 
 interface Held {
-  wish: Wish;
+  wish: Request;
   trying: boolean;
   endsAt: Micros;
   wakeAt: Micros;
@@ -85,7 +85,7 @@
 }
 
 interface Known {
-  at: DirectorAt;
+  at: DirectorEndpoint;
   shunUntil: Micros;
   failures: number;
 }
@@ -112,7 +112,7 @@
 }
 
 export class Core {
-  private readonly manners: Manners;
+  private readonly manners: RetryPolicy;
   private readonly chance: Chance;
   private readonly directors: Known[];
   private readonly held = new Map<number, Held>();
@@ -121,9 +121,9 @@
   private readonly firsts: Micros[] = [];
   private readonly furthers: Micros[] = [];
   private last = 0;
-  readonly counts = { wishes: 0, tries: 0, furtherTries: 0, budgetRefused: 0, shunned: 0 };
+  readonly statistics = { requests: 0, attempts: 0, retries: 0, budgetRefused: 0, ejections: 0 };
 
-  constructor(directors: DirectorAt[], manners: Manners, seed: number) {
+  constructor(directors: DirectorEndpoint[], manners: RetryPolicy, seed: number) {
     this.manners = manners;
     this.chance = new Chance(seed);
     this.directors = directors.map((at) => ({ at, shunUntil: 0, failures: 0 }));
@@ -131,9 +131,9 @@
 
   // ---- events ----
 
-  want(now: Micros, wish: Wish, acts: Act[]): void {
+  submit(now: Micros, wish: Request, acts: Action[]): void {
     if (this.held.has(wish.id)) return;
-    ++this.counts.wishes;
+    ++this.statistics.requests;
     const held: Held = {
       wish,
       trying: false,
@@ -159,13 +159,13 @@
     this.go(now, held, acts);
   }
 
-  cancel(_now: Micros, wish: number, acts: Act[]): void {
+  cancel(_now: Micros, wish: number, acts: Action[]): void {
     const held = this.held.get(wish);
     if (held !== undefined) this.end(held, "cancelled", 0, 0, acts);
   }
 
   // Undefined: the try is over, and nothing is to be sent.
-  sending(now: Micros, attempt: number, director: string): Sending | undefined {
+  beginSend(now: Micros, attempt: number, director: string): SendParameters | undefined {
     const held = this.byTry(attempt);
     if (held === undefined || held.sentNow) return undefined;
     const again = held.sentTo;
@@ -173,7 +173,7 @@
       held.keySent = `${director}:${held.wish.key}`;
       held.firstSentAt = now;
     }
-    const out: Sending = {
+    const out: SendParameters = {
       key: held.keySent,
       again,
       againAge: again === "" ? undefined : now - held.firstSentAt,
@@ -188,7 +188,7 @@
     return out;
   }
 
-  failed(now: Micros, attempt: number, acts: Act[], unread = false): void {
+  failed(now: Micros, attempt: number, acts: Action[], unread = false): void {
     const held = this.byTry(attempt);
     if (held === undefined) return;
     this.tries.delete(attempt);
@@ -210,7 +210,7 @@
     answer: Answer,
     retryAfter: Micros,
     directorDrains: boolean,
-    acts: Act[],
+    acts: Action[],
   ): void {
     const held = this.byTry(attempt);
     if (held === undefined) return;
@@ -233,7 +233,7 @@
     this.wait(now, held, retryAfter, acts);
   }
 
-  tick(now: Micros, acts: Act[]): void {
+  tick(now: Micros, acts: Action[]): void {
     while (this.dues.length > 0 && this.dues[0]!.at <= now) {
       const { wish } = this.dues.shift()!;
       const held = this.held.get(wish);
@@ -294,19 +294,19 @@
     return held.sentOnce ? "throttled" : "unreachable";
   }
 
-  private end(held: Held, result: Result, director: number, comeBackAfter: Micros, acts: Act[]): void {
+  private end(held: Held, result: Result, director: number, retryAfter: Micros, acts: Action[]): void {
     if (held.trying) {
       acts.push({ act: "abandon", attempt: held.attempt });
       this.tries.delete(held.attempt);
     }
-    acts.push({ act: "give", wish: held.wish.id, result, director, comeBackAfter });
+    acts.push({ act: "give", request: held.wish.id, result, director, retryAfter });
     this.held.delete(held.wish.id);
   }
 
   private spend(now: Micros): boolean {
     forget(this.firsts, now - this.manners.budgetWindow);
     forget(this.furthers, now - this.manners.budgetWindow);
-    const most = this.manners.budgetFew + this.manners.budgetShare * this.firsts.length;
+    const most = this.manners.minRetries + this.manners.budgetShare * this.firsts.length;
     if (this.furthers.length + 1 > most) return false;
     this.furthers.push(now);
     return true;
@@ -315,9 +315,9 @@
   private shun(now: Micros, director: number, least: Micros): void {
     const known = this.directors[director];
     if (known === undefined) return;
-    const span = Math.min(this.manners.shunMost, doubled(this.manners.shunLeast, known.failures, 20));
+    const span = Math.min(this.manners.maxEjection, doubled(this.manners.minEjection, known.failures, 20));
     ++known.failures;
-    ++this.counts.shunned;
+    ++this.statistics.ejections;
     // Half of it by chance: all clients saw the same failure at the same time.
     const half = Math.trunc(span / 2);
     known.shunUntil = Math.max(known.shunUntil, now + Math.max(least, half + this.jitter(half)));
@@ -348,25 +348,25 @@
     return { director: from[this.chance.next() % from.length]!, freeAt };
   }
 
-  private go(now: Micros, held: Held, acts: Act[]): void {
+  private go(now: Micros, held: Held, acts: Action[]): void {
     if (held.endsAt - now < leastTime) return this.end(held, this.lastWord(held), held.director, 0, acts);
     if (held.notBefore > now) return this.note(held, held.notBefore);
     const { director, freeAt } = this.choose(now, held);
     if (director === noPlace) {
       // Nobody to ask within its time is told at once, with the time at which it makes sense to come back.
       if (freeAt > held.endsAt - leastTime) {
-        const comeBack = freeAt === never ? this.manners.waitMost : freeAt - now;
-        return this.end(held, this.lastWord(held), held.director, comeBack, acts);
+        const retryAfter = freeAt === never ? this.manners.maxBackoff : freeAt - now;
+        return this.end(held, this.lastWord(held), held.director, retryAfter, acts);
       }
       return this.note(held, freeAt);
     }
-    if (held.tries >= this.manners.triesMost || (held.tries > 0 && !this.spend(now))) {
-      if (held.tries < this.manners.triesMost) ++this.counts.budgetRefused;
-      const comeBack = doubled(this.manners.waitLeast, held.waits, 7);
-      return this.end(held, this.lastWord(held), held.director, comeBack, acts);
+    if (held.tries >= this.manners.maxAttempts || (held.tries > 0 && !this.spend(now))) {
+      if (held.tries < this.manners.maxAttempts) ++this.statistics.budgetRefused;
+      const retryAfter = doubled(this.manners.minBackoff, held.waits, 7);
+      return this.end(held, this.lastWord(held), held.director, retryAfter, acts);
     }
-    if (held.tries++ > 0) ++this.counts.furtherTries;
-    ++this.counts.tries;
+    if (held.tries++ > 0) ++this.statistics.retries;
+    ++this.statistics.attempts;
     held.trying = true;
     held.director = director;
     held.boundBefore = held.bound;
@@ -375,14 +375,21 @@
     held.attempt = ++this.last;
     this.tries.set(held.attempt, held.wish.id);
     const timeLeft = held.endsAt - now;
-    if (this.manners.tryMost < timeLeft) this.note(held, now + this.manners.tryMost);
-    acts.push({ act: "try", wish: held.wish.id, attempt: held.attempt, director, key: held.wish.key, timeLeft });
+    if (this.manners.attemptTimeout < timeLeft) this.note(held, now + this.manners.attemptTimeout);
+    acts.push({
+      act: "try",
+      request: held.wish.id,
+      attempt: held.attempt,
+      director,
+      key: held.wish.key,
+      timeLeft,
+    });
   }
 
   // Full jitter over a span that doubles, after what the answer asked for: a crowd refused together does not
   // come back together.
-  private wait(now: Micros, held: Held, least: Micros, acts: Act[]): void {
-    const span = Math.min(this.manners.waitMost, doubled(this.manners.waitLeast, held.waits, 20));
+  private wait(now: Micros, held: Held, least: Micros, acts: Action[]): void {
+    const span = Math.min(this.manners.maxBackoff, doubled(this.manners.minBackoff, held.waits, 20));
     ++held.waits;
     const at = now + least + this.jitter(span);
     held.notBefore = now + least;
--- a/client/grpc/transport.cpp
+++ b/client/grpc/transport.cpp
@@ -32,11 +32,11 @@
   std::map<StreamId, GrpcLink*> byStream;
 };
 
-class Grpc final : public Transport, public Http2::Ear {
+class Grpc final : public Transport, public Http2::Handler {
  public:
   Grpc(event_base* base, net::Connect connect) : base_(base), connect_(std::move(connect)) {}
   ~Grpc() override;
-  std::unique_ptr<Link> open(const std::string& address, Micros timeLeft, LinkEar& ear) override;
+  std::unique_ptr<Link> open(const std::string& address, Micros timeLeft, LinkHandler& handler) override;
   void tick(Micros now) override;
   void drop(GrpcLink& link);
 
@@ -58,10 +58,10 @@
 
 class GrpcLink final : public Link {
  public:
-  GrpcLink(Grpc& owner, Wire* at, LinkEar& to) : wire(at), ear(to), owner_(owner) {}
+  GrpcLink(Grpc& owner, Wire* at, LinkHandler& to) : wire(at), handler(to), owner_(owner) {}
   ~GrpcLink() override { owner_.drop(*this); }
 
-  void ask(const player::AskMessage& message) override {
+  void ask(const session_api::PlayMessage& message) override {
     if (wire == nullptr || stream != 0) return;
     stream = wire->http->request({{":method", "POST"},
                                   {":scheme", "http"},
@@ -86,11 +86,11 @@
   void lose(bool unread) {
     if (over) return;
     over = true;
-    ear.onLost(unread);
+    handler.onLost(unread);
   }
 
   Wire* wire;
-  LinkEar& ear;
+  LinkHandler& handler;
   StreamId stream = 0;
   grpc::Reader reader{messageMost};
   bool greeted = false;
@@ -123,7 +123,7 @@
   return nullptr;
 }
 
-std::unique_ptr<Link> Grpc::open(const std::string& address, Micros timeLeft, LinkEar& ear) {
+std::unique_ptr<Link> Grpc::open(const std::string& address, Micros timeLeft, LinkHandler& handler) {
   Wire* wire = nullptr;
   for (auto& one : wires_)
     if (one->address == address && !one->lost && !one->http->dead() &&
@@ -132,17 +132,18 @@
   if (wire == nullptr) {
     const std::size_t colon = address.rfind(':');
     if (colon == std::string::npos) return nullptr;
-    net::Bev bev = connect_(base_, address.substr(0, colon), std::atoi(address.c_str() + colon + 1));
-    if (!bev) return nullptr;
+    net::BufferEvent bufferEvent =
+        connect_(base_, address.substr(0, colon), std::atoi(address.c_str() + colon + 1));
+    if (!bufferEvent) return nullptr;
     grpc::Http2Limits limits;
     limits.handshake = std::max<Micros>(100'000, std::min<Micros>(limits.handshake, timeLeft));
     auto made = std::make_unique<Wire>();
     made->address = address;
-    made->http = std::make_unique<Http2>(std::move(bev), *this, limits, false);
+    made->http = std::make_unique<Http2>(std::move(bufferEvent), *this, limits, false);
     wire = made.get();
     wires_.push_back(std::move(made));
   }
-  auto link = std::make_unique<GrpcLink>(*this, wire, ear);
+  auto link = std::make_unique<GrpcLink>(*this, wire, handler);
   wire->links.push_back(link.get());
   return link;
 }
@@ -167,7 +168,7 @@
   for (GrpcLink* link : links) {
     if (std::find(wire.links.begin(), wire.links.end(), link) == wire.links.end() || link->greeted) continue;
     link->greeted = true;
-    link->ear.onHello(wire.director);
+    link->handler.onHello(wire.director);
   }
 }
 
@@ -183,7 +184,7 @@
   // message.
   if (!trailers.ours) return link.lose(false);
   link.over = true;
-  if (trailers.answer.said != player::Said::ended) link.ear.onAnswer(trailers.answer);
+  if (trailers.answer.kind != session_api::AnswerKind::ended) link.handler.onAnswer(trailers.answer);
 }
 
 void Grpc::onData(Http2& http, StreamId stream, std::string_view bytes) {
@@ -207,8 +208,8 @@
     const auto answer = grpc::readAnswer(*message);
     if (!answer) continue;  // a newer director may say more than this library knows
     // The stream's trailers follow an `ended`; nothing after it matters.
-    if (answer->said == player::Said::ended) link.over = true;
-    link.ear.onAnswer(*answer);
+    if (answer->kind == session_api::AnswerKind::ended) link.over = true;
+    link.handler.onAnswer(*answer);
   }
 }
 
--- a/client/session/session_client.cpp
+++ b/client/session/session_client.cpp
@@ -13,26 +13,26 @@
 struct SessionClient::Wished {
   Want want;
   Heard last;
-  TryId plays = 0;
+  AttemptId plays = 0;
   bool over = false;
   OnResult onResult;
   OnEnd onEnd;
   OnRung onRung;
 };
 
-struct SessionClient::Line final : LinkEar {
+struct SessionClient::Line final : LinkHandler {
   SessionClient* owner = nullptr;
-  TryId attempt = 0;
-  WishId wish = 0;
+  AttemptId attempt = 0;
+  RequestId wish = 0;
   bool dropped = false;
   std::unique_ptr<Link> link;
   void onHello(const std::string& director) override { owner->hello(*this, director); }
-  void onAnswer(const player::AnswerMessage& answer) override { owner->heard(*this, answer); }
+  void onAnswer(const session_api::AnswerMessage& answer) override { owner->heard(*this, answer); }
   void onLost(bool unread) override { owner->lost(*this, unread); }
 };
 
 SessionClient::SessionClient(event_base* base, std::unique_ptr<Transport> transport,
-                             std::vector<DirectorAt> directors, Manners manners, std::uint64_t seed)
+                             std::vector<DirectorEndpoint> directors, RetryPolicy manners, std::uint64_t seed)
     : transport_(std::move(transport)),
       directors_(directors),
       core_(std::move(directors), std::move(manners), seed) {
@@ -40,8 +40,8 @@
 }
 SessionClient::~SessionClient() = default;
 
-WishId SessionClient::ask(const Want& want, OnResult onResult, OnEnd onEnd, OnRung onRung) {
-  const WishId id = ++next_;
+RequestId SessionClient::ask(const Want& want, OnResult onResult, OnEnd onEnd, OnRung onRung) {
+  const RequestId id = ++next_;
   auto wished = std::make_unique<Wished>();
   wished->want = want;
   // Nobody else may ever have used it: a key that meets another one's is answered from theirs.
@@ -50,12 +50,12 @@
   wished->onEnd = std::move(onEnd);
   wished->onRung = std::move(onRung);
   wishes_.emplace(id, std::move(wished));
-  core_.want(net::monotonicNow(), {id, key, want.unsafe, want.timeout}, acts_);
+  core_.submit(net::monotonicNow(), {id, key, want.unsafe, want.timeout}, acts_);
   arm();
   return id;
 }
 
-void SessionClient::leave(WishId wish) {
+void SessionClient::leave(RequestId wish) {
   const auto it = wishes_.find(wish);
   if (it == wishes_.end()) return;
   Wished& wished = *it->second;
@@ -72,33 +72,33 @@
 // Acts are carried out from the loop alone, so that no callback of the program runs within its own call.
 void SessionClient::carry() {
   while (!acts_.empty()) {
-    const std::vector<Act> acts = std::exchange(acts_, {});
-    for (const Act& act : acts) {
-      if (const auto* attempt = std::get_if<Try>(&act)) {
+    const std::vector<Action> acts = std::exchange(acts_, {});
+    for (const Action& act : acts) {
+      if (const auto* attempt = std::get_if<StartAttempt>(&act)) {
         open(*attempt);
-      } else if (const auto* abandon = std::get_if<Abandon>(&act)) {
+      } else if (const auto* abandon = std::get_if<AbandonAttempt>(&act)) {
         drop(abandon->attempt);
       } else {
-        const auto& give = std::get<Give>(act);
-        const auto it = wishes_.find(give.wish);
+        const auto& give = std::get<ReportResult>(act);
+        const auto it = wishes_.find(give.request);
         if (it == wishes_.end()) continue;
         Wished& wished = *it->second;
         Heard heard = wished.last;
         heard.result = give.result;
-        heard.comeBackAfter = give.comeBackAfter;
+        heard.comeBackAfter = give.retryAfter;
         const OnResult tell = wished.onResult;
         if (give.result != Result::playing) wishes_.erase(it);
-        if (tell) calls_.push_back([tell, id = give.wish, heard] { tell(id, heard); });
+        if (tell) calls_.push_back([tell, id = give.request, heard] { tell(id, heard); });
       }
     }
   }
 }
 
-void SessionClient::open(const Try& attempt) {
+void SessionClient::open(const StartAttempt& attempt) {
   auto line = std::make_unique<Line>();
   line->owner = this;
   line->attempt = attempt.attempt;
-  line->wish = attempt.wish;
+  line->wish = attempt.request;
   line->link = transport_->open(directors_[attempt.director].address, attempt.timeLeft, *line);
   if (!line->link) return core_.failed(net::monotonicNow(), attempt.attempt, acts_);
   lines_.emplace(attempt.attempt, std::move(line));
@@ -108,12 +108,12 @@
   const auto it = wishes_.find(line.wish);
   if (it == wishes_.end() || line.dropped) return;
   Wished& wished = *it->second;
-  const Sending sending = core_.sending(net::monotonicNow(), line.attempt, director);
+  const SendParameters sending = core_.beginSend(net::monotonicNow(), line.attempt, director);
   if (sending.key.empty()) return;
-  player::AskMessage ask;
+  session_api::PlayMessage ask;
   ask.key = sending.key;
-  ask.again = sending.again;
-  ask.againAge = sending.againAge;
+  ask.previousDirector = sending.previousDirector;
+  ask.sinceFirstSent = sending.sinceFirstSent;
   ask.timeout = sending.timeLeft;
   ask.viewer = wished.want.viewer;
   ask.title = wished.want.title;
@@ -123,8 +123,8 @@
   line.link->ask(ask);
 }
 
-void SessionClient::heard(Line& line, const player::AnswerMessage& answer) {
-  using player::Said;
+void SessionClient::heard(Line& line, const session_api::AnswerMessage& answer) {
+  using session_api::AnswerKind;
   const auto it = wishes_.find(line.wish);
   if (it == wishes_.end() || line.dropped) return;
   Wished& wished = *it->second;
@@ -134,26 +134,26 @@
                    acts_);
     arm();
   };
-  switch (answer.said) {
-    case Said::hello:
+  switch (answer.kind) {
+    case AnswerKind::hello:
       return;
-    case Said::playing:
+    case AnswerKind::playing:
       wished.last = {Result::playing, "", answer.subscription, answer.node, answer.ticket, answer.rung, 0};
       wished.plays = line.attempt;
       return told(Answer::playing);
-    case Said::throttled:
+    case AnswerKind::throttled:
       line.dropped = true;
       return told(Answer::throttled);
-    case Said::terminated:
-    case Said::error:
+    case AnswerKind::terminated:
+    case AnswerKind::error:
       line.dropped = true;
-      return told(answer.said == Said::error ? Answer::wrong : Answer::terminated);
-    case Said::rung:
+      return told(answer.kind == AnswerKind::error ? Answer::wrong : Answer::terminated);
+    case AnswerKind::rung:
       wished.last.rung = answer.rung;
       if (wished.onRung)
         calls_.push_back([tell = wished.onRung, id = line.wish, rung = answer.rung] { tell(id, rung); });
       return arm();
-    case Said::ended:
+    case AnswerKind::ended:
       line.dropped = true;
       if (wished.onEnd)
         calls_.push_back([tell = wished.onEnd, id = line.wish, why = answer.reason,
@@ -177,7 +177,7 @@
   arm();
 }
 
-void SessionClient::drop(TryId attempt) {
+void SessionClient::drop(AttemptId attempt) {
   if (const auto it = lines_.find(attempt); it != lines_.end()) it->second->dropped = true;
   arm();
 }
--- a/client/session/session_client.h
+++ b/client/session/session_client.h
@@ -37,40 +37,40 @@
 
 class SessionClient {
  public:
-  using OnResult = std::function<void(WishId, const Heard&)>;
-  using OnEnd = std::function<void(WishId, const std::string& reason, Micros comeBackAfter)>;
-  using OnRung = std::function<void(WishId, int rung)>;
+  using OnResult = std::function<void(RequestId, const Heard&)>;
+  using OnEnd = std::function<void(RequestId, const std::string& reason, Micros comeBackAfter)>;
+  using OnRung = std::function<void(RequestId, int rung)>;
 
-  SessionClient(event_base* base, std::unique_ptr<Transport> transport, std::vector<DirectorAt> directors,
-                Manners manners, std::uint64_t seed);
+  SessionClient(event_base* base, std::unique_ptr<Transport> transport,
+                std::vector<DirectorEndpoint> directors, RetryPolicy manners, std::uint64_t seed);
   ~SessionClient();
   SessionClient(const SessionClient&) = delete;
   SessionClient& operator=(const SessionClient&) = delete;
 
-  WishId ask(const Want& want, OnResult onResult, OnEnd onEnd = {}, OnRung onRung = {});
-  void leave(WishId wish);  // gives up a wish, or ends what plays
-  const Counts& counts() const { return core_.counts(); }
+  RequestId ask(const Want& want, OnResult onResult, OnEnd onEnd = {}, OnRung onRung = {});
+  void leave(RequestId wish);  // gives up a wish, or ends what plays
+  const Statistics& counts() const { return core_.statistics(); }
 
  private:
   struct Wished;
   struct Line;
   void carry();
-  void open(const Try& attempt);
+  void open(const StartAttempt& attempt);
   void hello(Line& line, const std::string& director);
-  void heard(Line& line, const player::AnswerMessage& answer);
+  void heard(Line& line, const session_api::AnswerMessage& answer);
   void lost(Line& line, bool unread);
-  void drop(TryId attempt);
+  void drop(AttemptId attempt);
   void arm();
   static void onTimer(evutil_socket_t, short, void* me);
 
   std::unique_ptr<Transport> transport_;
-  std::vector<DirectorAt> directors_;
+  std::vector<DirectorEndpoint> directors_;
   Core core_;
   net::Event timer_;
-  WishId next_ = 0;
-  std::map<WishId, std::unique_ptr<Wished>> wishes_;
-  std::map<TryId, std::unique_ptr<Line>> lines_;
-  std::vector<Act> acts_;
+  RequestId next_ = 0;
+  std::map<RequestId, std::unique_ptr<Wished>> wishes_;
+  std::map<AttemptId, std::unique_ptr<Line>> lines_;
+  std::vector<Action> acts_;
   std::vector<std::function<void()>> calls_;  // of the program, made from the loop
 };
 
--- a/client/session/transport.h
+++ b/client/session/transport.h
@@ -7,15 +7,15 @@
 #include <string>
 
 #include "net/handles.h"
-#include "player/words.h"
+#include "session_api/messages.h"
 
 namespace lupinsill::client {
 
-struct LinkEar {
-  virtual ~LinkEar() = default;
+struct LinkHandler {
+  virtual ~LinkHandler() = default;
   // The connection stands and names its director: the ask may be handed over.
   virtual void onHello(const std::string& director) = 0;
-  virtual void onAnswer(const player::AnswerMessage& answer) = 0;
+  virtual void onAnswer(const session_api::AnswerMessage& answer) = 0;
   // No answer will come any more; told once. `unread`: the other side proved that it never read the ask.
   virtual void onLost(bool unread) = 0;
 };
@@ -24,7 +24,7 @@
 class Link {
  public:
   virtual ~Link() = default;
-  virtual void ask(const player::AskMessage& ask) = 0;
+  virtual void ask(const session_api::PlayMessage& ask) = 0;
   virtual void leave() = 0;
   virtual bool flushed() const = 0;
 };
@@ -33,7 +33,7 @@
  public:
   virtual ~Transport() = default;
   // Null where the address is unusable. `ear` outlives the link.
-  virtual std::unique_ptr<Link> open(const std::string& address, Micros timeLeft, LinkEar& ear) = 0;
+  virtual std::unique_ptr<Link> open(const std::string& address, Micros timeLeft, LinkHandler& handler) = 0;
   virtual void tick(Micros now) = 0;
 };
 
--- a/client/typescript/src/session_client.ts
+++ b/client/typescript/src/session_client.ts
@@ -2,8 +2,8 @@
 // decides, and never decides on a retry itself. Callbacks come from timers and socket events, never from within a
 // call of this class. Times are whole microseconds. A wish gets exactly one result; one that plays then gets
 // exactly one end. No runtime dependency: the WebSocket of the platform, or one handed in.
-import { Core, usualManners } from "../../core/core.js";
-import type { Act, Answer as CoreAnswer, DirectorAt, Manners, Micros, Result } from "../../core/core.js";
+import { Core, defaultRetryPolicy } from "../../core/core.js";
+import type { Action, Answer as CoreAnswer, DirectorEndpoint, RetryPolicy, Micros, Result } from "../../core/core.js";
 import { askText, leaveText, readAnswer } from "./messages.js";
 import type { Answer, Ask } from "./messages.js";
 
@@ -46,7 +46,7 @@
 export type SocketMaker = (url: string, protocol: string) => SocketLike;
 
 export interface Around {
-  manners?: Partial<Manners>;
+  manners?: Partial<RetryPolicy>;
   seed?: number;
   makeSocket?: SocketMaker;
   scheme?: "ws" | "wss";
@@ -94,28 +94,28 @@
 
 export class SessionClient {
   private readonly core: Core;
-  private readonly directors: DirectorAt[];
+  private readonly directors: DirectorEndpoint[];
   private readonly makeSocket: SocketMaker;
   private readonly scheme: string;
   private readonly now: () => Micros;
   private readonly wishes = new Map<number, Wished>();
   private readonly lines = new Map<number, Line>();
-  private acts: Act[] = [];
+  private acts: Action[] = [];
   private calls: (() => void)[] = [];
   private timer: ReturnType<typeof setTimeout> | undefined;
   private last = 0;
 
-  constructor(directors: DirectorAt[], around: Around = {}) {
+  constructor(directors: DirectorEndpoint[], around: Around = {}) {
     this.directors = directors;
     const seed = around.seed ?? globalThis.crypto.getRandomValues(new Uint32Array(1))[0]!;
-    this.core = new Core(directors, { ...usualManners, ...around.manners }, seed);
+    this.core = new Core(directors, { ...defaultRetryPolicy, ...around.manners }, seed);
     this.makeSocket = around.makeSocket ?? platformSocket;
     this.scheme = around.scheme ?? "ws";
     this.now = around.now ?? (() => Math.trunc(performance.now() * 1000));
   }
 
-  get counts(): Core["counts"] {
-    return this.core.counts;
+  get statistics(): Core["statistics"] {
+    return this.core.statistics;
   }
 
   ask(want: Want, ears: Ears): number {
@@ -124,7 +124,7 @@
     const key = freshKey();
     this.wishes.set(id, { id, want, last: nothing, plays: 0, ears });
     const timeout = want.timeout ?? 5_000_000;
-    this.core.want(this.now(), { id, key, unsafe: want.unsafe ?? false, timeout }, this.acts);
+    this.core.submit(this.now(), { id, key, unsafe: want.unsafe ?? false, timeout }, this.acts);
     this.arm();
     return id;
   }
@@ -158,17 +158,17 @@
           // The line of a wish that plays lives on: its try is over, not its subscription.
           if (line !== undefined && this.wishes.get(line.wish)?.plays !== act.attempt) this.drop(line);
         } else {
-          const wished = this.wishes.get(act.wish);
+          const wished = this.wishes.get(act.request);
           if (wished === undefined) continue;
-          const heard = { ...wished.last, result: act.result, comeBackAfter: act.comeBackAfter };
-          if (act.result !== "playing") this.wishes.delete(act.wish);
-          this.calls.push(() => wished.ears.onResult?.(act.wish, heard));
+          const heard = { ...wished.last, result: act.result, comeBackAfter: act.retryAfter };
+          if (act.result !== "playing") this.wishes.delete(act.request);
+          this.calls.push(() => wished.ears.onResult?.(act.request, heard));
         }
       }
     }
   }
 
-  private open(act: Extract<Act, { act: "try" }>): void {
+  private open(act: Extract<Action, { act: "try" }>): void {
     const address = this.directors[act.director]?.address ?? "";
     let socket: SocketLike;
     try {
@@ -176,7 +176,7 @@
     } catch {
       return this.core.failed(this.now(), act.attempt, this.acts);
     }
-    const line: Line = { attempt: act.attempt, wish: act.wish, dropped: false, socket };
+    const line: Line = { attempt: act.attempt, wish: act.request, dropped: false, socket };
     this.lines.set(act.attempt, line);
     socket.onmessage = (event) => {
       const answer = typeof event.data === "string" ? readAnswer(event.data) : undefined;
@@ -224,7 +224,7 @@
   }
 
   private hello(line: Line, wished: Wished, director: string): void {
-    const sending = this.core.sending(this.now(), line.attempt, director);
+    const sending = this.core.beginSend(this.now(), line.attempt, director);
     if (sending === undefined) return;
     const { viewer, title, room, tenant, top, length } = wished.want;
     const { key, again, againAge, timeLeft } = sending;
--- a/client/typescript/tests/core.test.ts
+++ b/client/typescript/tests/core.test.ts
@@ -2,8 +2,8 @@
 import assert from "node:assert/strict";
 import { execFileSync } from "node:child_process";
 import { test } from "node:test";
-import { Core, usualManners } from "../../core/core.js";
-import type { Act, Answer } from "../../core/core.js";
+import { Core, defaultRetryPolicy } from "../../core/core.js";
+import type { Action, Answer } from "../../core/core.js";
 
 interface Event {
   now: number;
@@ -19,7 +19,7 @@
   answer: Answer;
   retryAfter: number;
   drains: boolean;
-  acts: Act[];
+  acts: Action[];
   due: number;
 }
 
@@ -35,13 +35,13 @@
       { address: "b:1", building: "north" },
       { address: "c:1", building: "south" },
     ];
-    const core = new Core(places, { ...usualManners, building: "north" }, trace.seed);
+    const core = new Core(places, { ...defaultRetryPolicy, building: "north" }, trace.seed);
     trace.events.forEach((e, step) => {
-      const out: Act[] = [];
-      if (e.event === "want")
-        core.want(e.now, { id: e.id, key: e.key, unsafe: e.unsafe, timeout: e.timeout }, out);
-      else if (e.event === "sending") {
-        const sending = core.sending(e.now, e.attempt, e.director);
+      const out: Action[] = [];
+      if (e.event === "submit")
+        core.submit(e.now, { id: e.id, key: e.key, unsafe: e.unsafe, timeout: e.timeout }, out);
+      else if (e.event === "beginSend") {
+        const sending = core.beginSend(e.now, e.attempt, e.director);
         // JSON has no undefined: what is left out there is undefined here.
         assert.deepEqual(sending && JSON.parse(JSON.stringify(sending)), e.sending, `seed ${trace.seed}, step ${step}`);
       }
--- a/client/typescript/tools/play.ts
+++ b/client/typescript/tools/play.ts
@@ -42,7 +42,7 @@
 async function playSequence(sequence: Sequence): Promise<void> {
   const client = new SessionClient(places, {
     seed: sequence.seed,
-    manners: { building: "here", budgetFew: 20 },
+    manners: { building: "here", minRetries: 20 },
     makeSocket: (url, protocol) => new WebSocket(url, protocol) as unknown as SocketLike,
   });
   const results: string[] = [];
--- a/examples/clients/watch.cpp
+++ b/examples/clients/watch.cpp
@@ -19,10 +19,11 @@
     std::fprintf(stderr, "watch websocket|grpc HOST:PORT ROOM-TYPE TITLE\n");
     return 2;
   }
-  const net::Base base(event_base_new());
+  const net::EventBase base(event_base_new());
   auto transport =
       std::string(argv[1]) == "grpc" ? client::makeGrpc(base.get()) : client::makeWebSocket(base.get());
-  client::SessionClient sessions(base.get(), std::move(transport), {{argv[2], "here"}}, client::Manners{}, 1);
+  client::SessionClient sessions(base.get(), std::move(transport), {{argv[2], "here"}}, client::RetryPolicy{},
+                                 1);
 
   client::Want want;
   want.viewer = "example";
@@ -32,7 +33,7 @@
   int code = 0;
   sessions.ask(
       want,
-      [&](client::WishId, const client::Heard& heard) {
+      [&](client::RequestId, const client::Heard& heard) {
         std::printf("%s %s", client::nameOf(heard.result), heard.reason.c_str());
         if (heard.result == client::Result::playing)
           std::printf("at %s on rung %d, ticket %s", heard.node.c_str(), heard.rung, heard.ticket.c_str());
@@ -42,7 +43,7 @@
           std::printf(", come back after %lld ms", static_cast<long long>(heard.comeBackAfter / 1000));
         std::printf("\n");
       },
-      [&](client::WishId, const std::string& reason, client::Micros) {
+      [&](client::RequestId, const std::string& reason, client::Micros) {
         std::printf("ended: %s\n", reason.c_str());
         event_base_loopbreak(base.get());
       });
--- a/src/intake/door.h
+++ b/src/admission/player_server.h
@@ -2,22 +2,22 @@
 // and what is due by time.
 #pragma once
 
-#include "intake/desk.h"
-#include "player/words.h"
+#include "admission/call_manager.h"
+#include "session_api/messages.h"
 
-namespace lupinsill::intake {
+namespace lupinsill::admission {
 
-struct Door {
-  virtual ~Door() = default;
+struct PlayerServer {
+  virtual ~PlayerServer() = default;
   // False where the line is not of this door. `ends`: the call is over with it.
-  virtual bool carry(session::Line line, const player::AnswerMessage& message, bool ends) = 0;
+  virtual bool send(session::CallId callId, const session_api::AnswerMessage& message, bool ends) = 0;
   // Passed over where the peer is not of this door.
-  virtual void carry(const Due& due) = 0;
+  virtual void send(const DueAction& due) = 0;
   // As if the connection, or where there is such a thing the call, had broken.
-  virtual void cut(session::Line line) = 0;
+  virtual void cut(session::CallId callId) = 0;
   virtual void closeAll() = 0;
   virtual void tick(Micros now) = 0;  // frees what has died; some times a second
   virtual std::size_t sockets() const = 0;
 };
 
-}  // namespace lupinsill::intake
+}  // namespace lupinsill::admission
--- a/src/intake/reception.cpp
+++ b/src/admission/request_translator.cpp
@@ -1,16 +1,18 @@
-#include "intake/reception.h"
+#include "admission/request_translator.h"
 
 #include <algorithm>
 #include <utility>
 
-namespace lupinsill::intake {
+namespace lupinsill::admission {
 
-Reception::Reception(Names names, std::vector<RoomType> roomTypes)
+RequestTranslator::RequestTranslator(Names names, std::vector<RoomType> roomTypes)
     : names_(std::move(names)), roomTypes_(std::move(roomTypes)) {}
 
-std::optional<session::Ask> Reception::read(session::Line line, const player::AskMessage& ask,
-                                            std::optional<Micros> left, const fleet::Membership& fleet,
-                                            std::string& why) const {
+std::optional<session::PlayRequest> RequestTranslator::translate(session::CallId callId,
+                                                                 const session_api::PlayMessage& ask,
+                                                                 std::optional<Micros> left,
+                                                                 const fleet::Membership& fleet,
+                                                                 std::string& why) const {
   const auto room = std::find(names_.roomTypes.begin(), names_.roomTypes.end(), ask.room);
   if (room == names_.roomTypes.end()) return why = "room: unknown room type", std::nullopt;
   const auto tenant = std::find(names_.tenants.begin(), names_.tenants.end(), ask.tenant);
@@ -25,10 +27,10 @@
   if (unsafe && (colon == std::string::npos || colon + 1 == ask.key.size()))
     return why = "key: the director's name, a colon and more expected for this room type", std::nullopt;
   const bool foreign = unsafe && ask.key.compare(0, colon, names_.director) != 0;
-  const fleet::TitleAt at = fleet.where(ask.title);
-  session::Ask out;
-  out.line = line;
-  out.askKey = ask.key;
+  const fleet::TitlePlacement at = fleet.where(ask.title);
+  session::PlayRequest out;
+  out.callId = callId;
+  out.idempotencyKey = ask.key;
   out.viewer = ask.viewer;
   out.title = ask.title;
   out.roomType = static_cast<int>(index);
@@ -41,11 +43,12 @@
   if (ask.timeout) out.timeout = std::min(out.timeout, *ask.timeout);
   if (left) out.timeout = std::min(out.timeout, *left);
   out.length = ask.length;
-  out.againAge = ask.againAge;
-  out.again = foreign || (!ask.again.empty() && ask.again != names_.director) ? session::Ask::Again::elsewhere
-              : ask.again.empty()                                             ? session::Ask::Again::no
-                                                                              : session::Ask::Again::here;
+  out.sinceFirstSent = ask.sinceFirstSent;
+  out.repeat = foreign || (!ask.previousDirector.empty() && ask.previousDirector != names_.director)
+                   ? session::PlayRequest::Repeat::elsewhere
+               : ask.previousDirector.empty() ? session::PlayRequest::Repeat::no
+                                              : session::PlayRequest::Repeat::here;
   return out;
 }
 
-}  // namespace lupinsill::intake
+}  // namespace lupinsill::admission
--- a/src/intake/reception.h
+++ b/src/admission/request_translator.h
@@ -9,28 +9,28 @@
 #include <vector>
 
 #include "fleet/membership.h"
-#include "player/words.h"
 #include "session/front.h"
+#include "session_api/messages.h"
 
-namespace lupinsill::intake {
+namespace lupinsill::admission {
 
-class Reception {
+class RequestTranslator {
  public:
   struct Names {
     std::string director;
-    std::vector<std::string> roomTypes, tenants;  // by the index that Terms uses
+    std::vector<std::string> roomTypes, tenants;  // by the index that ControlSettings uses
     std::vector<Micros> clientTimeouts;           // by room type
   };
-  Reception(Names names, std::vector<RoomType> roomTypes);
+  RequestTranslator(Names names, std::vector<RoomType> roomTypes);
 
   // `left`: what the protocol itself leaves the ask, where it says so.
-  std::optional<session::Ask> read(session::Line line, const player::AskMessage& ask,
-                                   std::optional<Micros> left, const fleet::Membership& fleet,
-                                   std::string& why) const;
+  std::optional<session::PlayRequest> translate(session::CallId callId, const session_api::PlayMessage& ask,
+                                                std::optional<Micros> left, const fleet::Membership& fleet,
+                                                std::string& why) const;
 
  private:
   Names names_;
   std::vector<RoomType> roomTypes_;
 };
 
-}  // namespace lupinsill::intake
+}  // namespace lupinsill::admission
--- a/src/audit/audit.cpp
+++ b/src/audit/audit.cpp
@@ -20,11 +20,11 @@
 
 int placeOf(const std::string& director) { return std::atoi(director.c_str() + 1); }  // "d3-..." is place 3
 
-bool unsafe(const Figures& f, int roomType) {
+bool unsafe(const Statistics& f, int roomType) {
   return f.terms.roomTypes[static_cast<std::size_t>(roomType)].effect != Effect::repeatable;
 }
 
-Row oneAnswer(const Record& record, const Figures& f) {
+Row oneAnswer(const Record& record, const Statistics& f) {
   Row row{"1 one answer", 0, 0, "", {}};
   Micros nearest = 3'600'000'000;
   for (const AskSeen& ask : record.asks) {
@@ -42,7 +42,7 @@
     for (const DirectorDown& down : record.downs)
       if (down.director == ask.director && down.run == ask.run && down.at <= deadline + f.answerSlack)
         excused = true;
-    const std::string who = "ask " + ask.askKey + " at " + ms(ask.at);
+    const std::string who = "ask " + ask.idempotencyKey + " at " + ms(ask.at);
     if (ask.answers.size() > 1) broke(row, who + ": " + std::to_string(ask.answers.size()) + " answers");
     if (ask.answers.empty()) {
       if (excused) continue;
@@ -59,14 +59,15 @@
   return row;
 }
 
-Row onceOnly(const Record& record, const Figures& f) {
+Row onceOnly(const Record& record, const Statistics& f) {
   Row row{"2 no set-up twice", 0, 0, "", {}};
   std::map<std::string, std::vector<const SetUpSeen*>> bySub, byAsk;
   for (const SetUpSeen& s : record.setUps) {
     bySub[s.subscription].push_back(&s);
     // Without a key no two joins but those of one subscription are known to be one ask's.
     if (unsafe(f, s.roomType))
-      byAsk[s.askKey.empty() ? "/" + s.subscription : s.viewer + "/" + s.askKey].push_back(&s);
+      byAsk[s.idempotencyKey.empty() ? "/" + s.subscription : s.viewer + "/" + s.idempotencyKey].push_back(
+          &s);
   }
   Micros overlap = 0;
   for (auto& [sub, list] : bySub)
@@ -96,21 +97,21 @@
   }
   for (const AskSeen& ask : record.asks) {
     if (!unsafe(f, ask.roomType)) continue;
-    const auto it = byAsk.find(ask.viewer + "/" + ask.askKey);
+    const auto it = byAsk.find(ask.viewer + "/" + ask.idempotencyKey);
     for (const AskSeen::Answer& answer : ask.answers) {
       if (answer.kind != AskSeen::Answer::Kind::throttled || it == byAsk.end()) continue;
       ++row.tested;
       for (const SetUpSeen* s : it->second)
         if (s->at < answer.at && s->refusedAt < 0)
-          broke(row,
-                "paid ask " + ask.askKey + ": throttled at " + ms(answer.at) + " though a join may have run");
+          broke(row, "paid ask " + ask.idempotencyKey + ": throttled at " + ms(answer.at) +
+                         " though a join may have run");
     }
   }
   row.nearest = "overlap of two joins " + ms(std::max<Micros>(0, overlap));
   return row;
 }
 
-Row drains(const Record& record, const Figures& f) {
+Row drains(const Record& record, const Statistics& f) {
   Row row{"3 drains kept", 0, 0, "", {}};
   // The words that each director could read of a node, in order: a later `ready` takes an earlier drain back.
   std::map<NodeId, std::vector<const NodeWord*>> words;
@@ -145,7 +146,7 @@
   return row;
 }
 
-Row cold(const Record& record, const Figures& f) {
+Row cold(const Record& record, const Statistics& f) {
   Row row{"4 cold pace", 0, 0, "", {}};
   double nearest = 0;
   for (const NodeStart& start : record.starts) {
@@ -178,7 +179,7 @@
   return row;
 }
 
-Row terms(const Record& record, const Figures& f) {
+Row terms(const Record& record, const Statistics& f) {
   Row row{"5 floors and seats", 0, 0, "", {}};
   for (const RungSeen& r : record.rungs) {
     const RoomType& room = f.terms.roomTypes[static_cast<std::size_t>(r.roomType)];
@@ -214,13 +215,13 @@
   return row;
 }
 
-Row further(const Record& record, const Figures& f) {
+Row further(const Record& record, const Statistics& f) {
   Row row{"6 further joins", 0, 0, "", {}};
-  if (!f.terms.furtherJoins) {
+  if (!f.terms.retryBudget) {
     row.nearest = "no budget stated";
     return row;
   }
-  const FurtherJoins& budget = *f.terms.furtherJoins;
+  const RetryBudget& budget = *f.terms.retryBudget;
   std::map<std::string, std::vector<Micros>> again;
   std::map<int, std::vector<Micros>> taken;
   std::set<std::string> seen;
@@ -236,7 +237,7 @@
         return static_cast<double>(std::count_if(
             list.begin(), list.end(), [&](Micros t) { return t <= at && t > at - budget.window; }));
       };
-      const double allowed = budget.few + budget.share * within(asks);
+      const double allowed = budget.minRetries + budget.share * within(asks);
       nearest = std::max(nearest, within(times) / std::max(1.0, allowed));
       if (within(times) > allowed + 1)
         broke(row, director + ": " + std::to_string(static_cast<int>(within(times))) + " further joins at " +
@@ -251,9 +252,9 @@
 
 }  // namespace
 
-std::vector<Row> check(const Record& record, const Figures& figures) {
-  return {oneAnswer(record, figures), onceOnly(record, figures), drains(record, figures),
-          cold(record, figures),      terms(record, figures),    further(record, figures)};
+std::vector<Row> check(const Record& record, const Statistics& statistics) {
+  return {oneAnswer(record, statistics), onceOnly(record, statistics), drains(record, statistics),
+          cold(record, statistics),      terms(record, statistics),    further(record, statistics)};
 }
 
 }  // namespace lupinsill::audit
--- a/src/audit/audit.h
+++ b/src/audit/audit.h
@@ -9,8 +9,8 @@
 
 namespace lupinsill::audit {
 
-struct Figures {  // of the deployment, as the rules read them
-  Terms terms;
+struct Statistics {  // of the deployment, as the rules read them
+  ControlSettings terms;
   std::vector<Micros> clientTimeouts;
   Micros grace = 0;
   Micros answerSlack = 0;  // after the client timeout, since the lab shares its machine with all it tests
@@ -26,6 +26,6 @@
   std::vector<std::string> first;  // the first few breaches, in words
 };
 
-std::vector<Row> check(const Record& record, const Figures& figures);
+std::vector<Row> check(const Record& record, const Statistics& statistics);
 
 }  // namespace lupinsill::audit
--- a/src/audit/record.h
+++ b/src/audit/record.h
@@ -18,7 +18,7 @@
   std::string director;      // one run of one director: a restart is another
   std::string subscription;  // as the director names it
   std::string viewer;
-  std::string askKey;
+  std::string idempotencyKey;
   std::string title;
   int roomType = 0;
   int rung = 0;
@@ -34,7 +34,7 @@
   int director = 0;  // place
   int run = 0;       // which run of that director
   std::string viewer;
-  std::string askKey;
+  std::string idempotencyKey;
   std::string title;
   int roomType = 0;
   Micros timeout = 0;
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -6,6 +6,7 @@
 #include <map>
 
 #include "baseline/baseline.h"
+#include "control_settings/control_settings.h"
 #include "director/admin.h"
 #include "director/director.h"
 #include "history/play.h"
@@ -16,7 +17,6 @@
 #include "platform/run.h"
 #include "settings/deployment.h"
 #include "store/store.h"
-#include "terms/terms.h"
 #include "ticket/ticket.h"
 
 namespace {
@@ -273,7 +273,7 @@
         const auto known = baseline::names();
         if (std::find(known.begin(), known.end(), policy) == known.end())
           return complain(wrong, "--policy " + policy + ": expected first-open or random-lowest");
-        start.hooks.decider = [policy](const Terms& terms, std::uint64_t seed) {
+        start.hooks.decider = [policy](const ControlSettings& terms, std::uint64_t seed) {
           return baseline::make(policy, terms, seed);
         };
       }
@@ -324,7 +324,7 @@
     }
   } catch (const settings::BadSettings& bad) {
     return complain(wrong, bad.what());
-  } catch (const terms::BadInput& bad) {
+  } catch (const control_settings::InvalidInput& bad) {
     return complain(wrong, bad.what());
   } catch (const std::exception& bad) {
     return complain(refused, bad.what());
--- a/src/script/script.cpp
+++ b/src/client_script/script.cpp
@@ -1,10 +1,10 @@
-#include "script/script.h"
+#include "client_script/script.h"
 
 #include <nlohmann/json.hpp>
 #include <random>
 #include <stdexcept>
 
-namespace lupinsill::script {
+namespace lupinsill::client_script {
 namespace {
 
 using Json = nlohmann::json;
@@ -150,4 +150,4 @@
   return found;
 }
 
-}  // namespace lupinsill::script
+}  // namespace lupinsill::client_script
--- a/src/script/script.h
+++ b/src/client_script/script.h
@@ -11,7 +11,7 @@
 
 #include "control.h"
 
-namespace lupinsill::script {
+namespace lupinsill::client_script {
 
 struct WishLine {
   std::string title;  // without the library's part
@@ -61,4 +61,4 @@
 // wishes) set-ups in all, never more set-ups than a plan allows, never a yes without one.
 std::vector<Finding> compare(const std::vector<Sequence>& script, const std::vector<Library>& libraries);
 
-}  // namespace lupinsill::script
+}  // namespace lupinsill::client_script
--- a/src/control.cpp
+++ b/src/control.cpp
@@ -100,10 +100,10 @@
 
 // A viewer's subscription as the desk holds it, from the request to the end of its last join.
 struct Sub {
-  SubId id = 0;
+  SubscriptionId id = 0;
   const RoomType* room = nullptr;
   int roomIndex = 0;
-  Viewing viewing;
+  SubscriptionInfo viewing;
   Node* at = nullptr;   // the join that is out, or where it plays
   Node* ran = nullptr;  // the last join that may have run binds where it may go again
   Micros ranSent = 0;
@@ -144,7 +144,7 @@
 };
 struct Hear {
   Sub* sub;
-  Reading reading;
+  MeasurementKind reading;
   double value;
 };
 struct Listed {
@@ -159,7 +159,7 @@
   double kb;
 };
 struct Read {
-  Reading reading;
+  MeasurementKind reading;
   double use;
 };
 struct Shortfall {
@@ -191,7 +191,7 @@
 
 // The one loop: parts whose inboxes hold notes, in the order in which they were written to.
 struct Post {
-  explicit Post(Terms handed, std::uint64_t seed)
+  explicit Post(ControlSettings handed, std::uint64_t seed)
       : terms(made(std::move(handed))),
         chance(static_cast<std::minstd_rand::result_type>(seed % 2147483646 + 1)),
         comeBack(terms) {
@@ -214,7 +214,7 @@
     }
   }
   // Guards against terms that cannot be: everything behind divides by them or indexes with them.
-  static Terms made(Terms t) {
+  static ControlSettings made(ControlSettings t) {
     if (t.ladderKb.empty()) t.ladderKb = {1};
     t.rungBenefit.resize(t.ladderKb.size(), t.rungBenefit.empty() ? 1 : t.rungBenefit.back());
     const int last = static_cast<int>(t.ladderKb.size()) - 1;
@@ -229,16 +229,16 @@
   // What a set-up may take: from then on it leaves too little of the join objective for another one.
   static Micros enough(const RoomType& room) { return std::max<Micros>(300'000, room.joinObjective / 2); }
   // How long a reading stands: three rounds of notes, as late as they come.
-  Micros stands() const { return 3 * std::max(terms.reportsEvery, second) + terms.seenAfter; }
+  Micros stands() const { return 3 * std::max(terms.reportInterval, second) + terms.seenAfter; }
   // Changes are kept for as long as a note may be late.
   Micros movedSpan() const { return 2 * std::max(terms.seenAfter, second); }
   double gainPerKb(const RoomType& room, std::size_t rung) const {  // of the step from rung to rung + 1
     const double kb = (terms.ladderKb[rung + 1] - terms.ladderKb[rung]) * room.rateFactor;
     return std::max(1e-9, room.benefit * (terms.rungBenefit[rung + 1] - terms.rungBenefit[rung]) / kb);
   }
-  Terms terms;
+  ControlSettings terms;
   std::minstd_rand chance;
-  ComeBack comeBack;
+  RetryAfterSchedule comeBack;
   Micros now = 0;
   Micros born = 0;
   Micros wokeAt = 0;      // the end of the last stretch in which this director got no turn
@@ -283,7 +283,7 @@
   double kb = 0;
   bool felt = false;  // the gauge is inferred from short delivery, not read
 
-  double capacity() const { return std::max(1.0, post.terms.rackKb); }
+  double capacity() const { return std::max(1.0, post.terms.rackUplinkKb); }
   std::optional<double> use() const {
     // Nothing tells that an uplink only felt has room again: it is tried little by little.
     if (gauge.known) return gauge.now(post, kb, capacity(), kb / capacity(), (felt ? 5 : 1) * readSpan);
@@ -327,8 +327,8 @@
   Micros pacedAt = 0;
   Micros reactedAt = 0;
 
-  const Terms& terms() const { return post.terms; }
-  int places() const { return terms().placesOf(listing.kind); }
+  const ControlSettings& terms() const { return post.terms; }
+  int places() const { return terms().slotsOf(listing.kind); }
   bool cold() const { return post.now - std::max(listing.readyAt, lostAt) < terms().coldTime; }
   double warmth() const {
     const double age = std::max(0.0, static_cast<double>(post.now - std::max(listing.readyAt, lostAt)));
@@ -370,7 +370,7 @@
   double roomUnder(double mark) const;
   void take(Sub& sub, int rung, bool underWay);
   void leave(Sub& sub, Outcome outcome, const LoadReport& report);
-  void hear(Sub& sub, Reading reading, double value);
+  void hear(Sub& sub, MeasurementKind reading, double value);
   void listed(const std::optional<ListEntry>& told);
 };
 
@@ -382,13 +382,13 @@
 struct Desk : Part {
   explicit Desk(Post& office)
       : Part(office),
-        linkSum(std::max(meanSpan, office.terms.reportsEvery / 2)),
+        linkSum(std::max(meanSpan, office.terms.reportInterval / 2)),
         linkCount(linkSum),
         uplinkSum(linkSum),
         uplinkCount(linkSum),
-        requests(office.terms.furtherJoins ? office.terms.furtherJoins->window : second),
-        further(office.terms.furtherJoins ? office.terms.furtherJoins->window : second) {}
-  std::map<SubId, std::unique_ptr<Sub>> subs;
+        requests(office.terms.retryBudget ? office.terms.retryBudget->window : second),
+        further(office.terms.retryBudget ? office.terms.retryBudget->window : second) {}
+  std::map<SubscriptionId, std::unique_ptr<Sub>> subs;
   std::map<NodeId, std::unique_ptr<Node>> nodes;
   std::map<int, std::unique_ptr<Rack>> racks;
   std::map<int, Cell> cells;
@@ -550,19 +550,19 @@
 
 void Node::readLink(double value, Micros age) {
   link = {value, kb - moved.sum(post.now, age), post.now, post.now - age, true};
-  post.send(*desk, Read{Reading::link, value});
+  post.send(*desk, Read{MeasurementKind::link, value});
 }
 
 void Node::readUplink(double value, Micros age, Node* by) {
   if (rack == nullptr) return;
   post.send(*rack, UplinkSeen{value, age, by});
-  post.send(*desk, Read{Reading::uplink, value});
+  post.send(*desk, Read{MeasurementKind::uplink, value});
 }
 
 // Of an uplink a newcomer sees one node's part, since as many may come to each of the others.
 double Node::roomUnder(double mark) const {
   return std::min((mark - linkUse()) * capacity(),
-                  (mark - rackUse()) * std::max(1.0, terms().rackKb) / rackPart);
+                  (mark - rackUse()) * std::max(1.0, terms().rackUplinkKb) / rackPart);
 }
 
 void Node::answer(const Ask& ask) {
@@ -609,13 +609,14 @@
   if (outcome == Outcome::connectFailed || outcome == Outcome::reset) lostAt = post.now;
   if (outcome == Outcome::full) {
     shutUntil = std::max(shutUntil, post.now + std::min(courtesySpan, fullHold << std::min(3, fulls++)));
-    if (terms().refusesFrom > 0 && linkUse() < terms().refusesFrom) readLink(terms().refusesFrom, 0);
-  } else if (outcome != Outcome::ok && outcome != Outcome::cancelled && outcome != Outcome::moot) {
+    if (terms().refusalThreshold > 0 && linkUse() < terms().refusalThreshold)
+      readLink(terms().refusalThreshold, 0);
+  } else if (outcome != Outcome::ok && outcome != Outcome::cancelled && outcome != Outcome::notSent) {
     // Guards against requests that no node can use: they would shut one node after the other. An error on a
     // title that never played says as much of the title.
     if (outcome != Outcome::error || sub.proven) strike();
   }
-  if (outcome != Outcome::full && outcome != Outcome::connectFailed && outcome != Outcome::moot) {
+  if (outcome != Outcome::full && outcome != Outcome::connectFailed && outcome != Outcome::notSent) {
     sub.ran = this;
     sub.ranSent = sub.sent;
   }
@@ -624,13 +625,13 @@
   gate();
 }
 
-void Node::hear(Sub& sub, Reading reading, double value) {
+void Node::hear(Sub& sub, MeasurementKind reading, double value) {
   // Guards against one broken connection that passes for a death: a subscription from before it that is still
   // heard of, later than notes are late, shows that the process lives and is not cold.
   if (sub.playing && sub.began < lostAt && post.now - lostAt > terms().seenAfter) lostAt = 0;
   const Micros age = sub.toldLink ? terms().seenAfter : 0;
   switch (reading) {
-    case Reading::delivered: {
+    case MeasurementKind::delivered: {
       const double before = shortNow() ? delivered : 1;
       delivered = value;
       deliveredAt = post.now;
@@ -638,17 +639,17 @@
       feel(before);
       break;
     }
-    case Reading::rung:
+    case MeasurementKind::rung:
       sub.rung = std::clamp(static_cast<int>(value), 0, static_cast<int>(terms().ladderKb.size()) - 1);
       setKb(sub, rate(sub, sub.rung));
       break;
-    case Reading::link:
+    case MeasurementKind::link:
       readLink(value, age);
       // Steps up by the link alone would overfill an uplink whose note is only a line behind.
       if (sub.toldLink && !terms().uplinksReported) react(link.about);
       sub.toldLink = true;
       break;
-    case Reading::uplink:
+    case MeasurementKind::uplink:
       readUplink(value, age, this);
       break;
   }
@@ -725,7 +726,7 @@
 void Node::feel(double before) {
   const Micros age = terms().seenAfter;
   if (delivered > 0.97 || delivered < 0.4 || delivered > before) return;
-  if (link.known && linkUse() < 0.9 && post.now - link.about < 2 * terms().reportsEvery + age) return;
+  if (link.known && linkUse() < 0.9 && post.now - link.about < 2 * terms().reportInterval + age) return;
   if (1 / delivered <= use()) return;
   readLink(1 / delivered, age);
   react(link.about);
@@ -764,7 +765,7 @@
 void Desk::read(const Note& note) {
   if (const auto* s = std::get_if<Start>(&note)) start(*s->sub);
   if (const auto* r = std::get_if<Read>(&note)) {
-    const bool link = r->reading == Reading::link;
+    const bool link = r->reading == MeasurementKind::link;
     (link ? linkSum : uplinkSum).add(now(), r->use);
     (link ? linkCount : uplinkCount).add(now(), 1);
   }
@@ -794,12 +795,12 @@
 }
 
 bool Desk::mayJoin(const Sub& sub) {
-  const Terms& terms = post.terms;
-  if (sub.joins >= terms.maxJoins || sub.viewing.giveUpAt - now() < 50'000) return false;
+  const ControlSettings& terms = post.terms;
+  if (sub.joins >= terms.maxJoins || sub.viewing.deadline - now() < 50'000) return false;
   if (sub.room->seats > 0 && seatsTaken(sub) >= sub.room->seats) return false;
-  if (sub.joins > 0 && terms.furtherJoins &&
+  if (sub.joins > 0 && terms.retryBudget &&
       further.sum(now()) + 1 >
-          terms.furtherJoins->few + terms.furtherJoins->share * requests.sum(now()) * 0.9)
+          terms.retryBudget->minRetries + terms.retryBudget->share * requests.sum(now()) * 0.9)
     return false;
   if (!sub.ran || sub.room->effect == Effect::repeatable) return true;
   return sub.room->effect == Effect::byKey && now() - sub.ranSent < sub.room->window;
@@ -872,7 +873,7 @@
 // Leaves time for another join within the join objective, but only where another is allowed.
 Micros Desk::patience(const Sub& sub) {
   if (sub.room->effect == Effect::once || sub.joins >= post.terms.maxJoins) return 0;
-  const Micros left = sub.viewing.giveUpAt - now();
+  const Micros left = sub.viewing.deadline - now();
   const Micros wait = Post::enough(*sub.room);
   return left < wait + 300'000 ? 0 : wait;
 }
@@ -901,12 +902,12 @@
 // ---- the door: the one place where ids are looked up ----
 
 struct Control::Parts {
-  Parts(Terms terms, std::uint64_t seed) : post(std::move(terms), seed), desk(post) {}
+  Parts(ControlSettings terms, std::uint64_t seed) : post(std::move(terms), seed), desk(post) {}
   Post post;
   Desk desk;
   Micros askAgainAt = 0;
 
-  Sub* find(SubId id) {
+  Sub* find(SubscriptionId id) {
     const auto it = desk.subs.find(id);
     return it == desk.subs.end() ? nullptr : it->second.get();
   }
@@ -918,7 +919,7 @@
   bool knows(int roomType) const {
     return roomType >= 0 && static_cast<std::size_t>(roomType) < post.terms.roomTypes.size();
   }
-  Sub& admit(const Viewing& viewing) {
+  Sub& admit(const SubscriptionInfo& viewing) {
     auto sub = std::make_unique<Sub>();
     sub->id = viewing.sub;
     sub->viewing = viewing;
@@ -967,7 +968,7 @@
     });
   }
 
-  void on(const ListTold& told) {
+  void on(const ListUpdate& told) {
     if (told.kind == ListKind::lost) return void(askAgainAt = post.now + askAgain);
     forget();
     if (told.kind != ListKind::changes) {
@@ -990,26 +991,26 @@
   }
   // Guards against a list that names a part of the fleet, or nodes on their way out beside those that take
   // their place: the sum of all links belongs to the most that were ever ready together.
-  void count(const ListTold& told) {
+  void count(const ListUpdate& told) {
     std::map<NodeId, int> kinds;  // as told now; the nodes themselves hear of it after this
     for (const ListEntry& entry : told.entries) kinds[entry.node] = entry.kind;
     double places = 0;
     for (const auto& [number, cell] : desk.cells)
       for (const Node* n : cell.nodes) {
         const auto kind = kinds.find(n->listing.node);
-        places += post.terms.placesOf(kind == kinds.end() ? n->listing.kind : kind->second);
+        places += post.terms.slotsOf(kind == kinds.end() ? n->listing.kind : kind->second);
       }
     if (places <= post.mostPlaces) return;
     post.mostPlaces = places;
-    post.kbPerPlace = post.terms.allLinksKb / places;
+    post.kbPerPlace = post.terms.totalLinkKb / places;
   }
-  void on(const Requested& e) {
+  void on(const SubscriptionRequested& e) {
     if (find(e.viewing.sub) != nullptr) return;
     // Nothing can be known of it, so it may not be told to come again either.
     if (!knows(e.viewing.roomType)) return desk.act(Terminate{e.viewing.sub});
     post.send(desk, Start{&admit(e.viewing)});
   }
-  void on(const UnderWay& e) {
+  void on(const SubscriptionAdopted& e) {
     if (find(e.viewing.sub) != nullptr || !knows(e.viewing.roomType)) return;
     Sub& sub = admit(e.viewing);
     sub.playing = sub.answered = sub.toldLink = true;
@@ -1021,7 +1022,7 @@
     ++desk.seatsTaken(sub);
     post.send(*sub.at, Take{&sub, sub.rung, true});
   }
-  void on(const Began& e) {
+  void on(const JoinStarted& e) {
     Sub* sub = find(e.sub);
     if (sub == nullptr || sub->at == nullptr || e.join != sub->joins - 1) return;
     sub->playing = sub->answered = true;
@@ -1034,11 +1035,11 @@
     value = std::min(value, readMost);
     return true;
   }
-  void on(const Noted& e) {
+  void on(const MeasurementReported& e) {
     Sub* sub = find(e.sub);
     if (sub == nullptr || sub->at == nullptr || sub->at->listing.node != e.node) return;
     double value = e.value;
-    if (e.reading == Reading::rung && std::isfinite(value))
+    if (e.reading == MeasurementKind::rung && std::isfinite(value))
       value = std::clamp(value, 0.0, static_cast<double>(post.terms.ladderKb.size() - 1));
     else if (!sound(value))
       return;
@@ -1055,41 +1056,42 @@
     post.send(*sub->at, ended);
     post.send(desk, ended);
   }
-  void on(const Lapsed& e) {
+  void on(const SubscriptionAbandoned& e) {
     Sub* sub = find(e.sub);
     if (sub == nullptr) return;
     sub->answered = true;
     if (sub->at == nullptr) return void(desk.subs.erase(sub->id));
-    if (!sub->playing && post.terms.cancelling) desk.act(CallOff{sub->id, sub->joins - 1});
+    if (!sub->playing && post.terms.cancelling) desk.act(CancelJoin{sub->id, sub->joins - 1});
   }
-  void on(const AlarmRang&) {
+  void on(const TimerFired&) {
     std::erase_if(desk.broken, [&](const auto& entry) { return entry.second < post.now; });
     std::erase_if(desk.played, [&](const auto& entry) { return entry.second + playedSpan < post.now; });
-    desk.act(SetAlarm{0, tickSpan});
+    desk.act(SetTimer{0, tickSpan});
     // Not at once: a list out of reach is one service that all directors ask.
     if (askAgainAt != 0 && post.now >= askAgainAt) {
       askAgainAt = 0;
-      desk.act(FollowList{});
+      desk.act(WatchList{});
     }
   }
 };
 
-int Terms::placesOf(int kind) const {
+int ControlSettings::slotsOf(int kind) const {
   const auto k = static_cast<std::size_t>(kind);
-  if (k < placesByKind.size()) return std::max(1, placesByKind[k]);
-  return placesByKind.empty() ? 1 : std::max(1, *std::min_element(placesByKind.begin(), placesByKind.end()));
+  if (k < slotsByKind.size()) return std::max(1, slotsByKind[k]);
+  return slotsByKind.empty() ? 1 : std::max(1, *std::min_element(slotsByKind.begin(), slotsByKind.end()));
 }
 
-ComeBack::ComeBack(const Terms& terms)
+RetryAfterSchedule::RetryAfterSchedule(const ControlSettings& terms)
     : middle_(terms.retryAfter ? std::min(advised, terms.maxRetryAfter * 2 / 3) : 0),
       place_(0.618034 * terms.ordinal) {}
 
-Micros ComeBack::next() {
+Micros RetryAfterSchedule::next() {
   place_ = std::fmod(place_ + 0.618034, 1.0);
   return middle_ / 2 + static_cast<Micros>(place_ * static_cast<double>(middle_));
 }
 
-Control::Control(Terms terms, std::uint64_t seed) : parts_(std::make_unique<Parts>(std::move(terms), seed)) {}
+Control::Control(ControlSettings terms, std::uint64_t seed)
+    : parts_(std::make_unique<Parts>(std::move(terms), seed)) {}
 Control::~Control() = default;
 Control::Control(Control&&) noexcept = default;
 Control& Control::operator=(Control&&) noexcept = default;
@@ -1103,21 +1105,21 @@
   post.out = &actions;
   if (post.born == 0) {
     post.born = now;
-    actions.push_back(SetAlarm{0, tickSpan});
-    if (post.terms.listOnRequest) actions.push_back(FollowList{});
+    actions.push_back(SetTimer{0, tickSpan});
+    if (post.terms.listOnRequest) actions.push_back(WatchList{});
   }
-  std::vector<const Requested*> requests;
+  std::vector<const SubscriptionRequested*> requests;
   for (const Event& event : turn) {
-    if (const auto* request = std::get_if<Requested>(&event)) {
+    if (const auto* request = std::get_if<SubscriptionRequested>(&event)) {
       requests.push_back(request);
       continue;
     }
-    if (const auto* lapsed = std::get_if<Lapsed>(&event))
-      std::erase_if(requests, [&](const Requested* r) { return r->viewing.sub == lapsed->sub; });
+    if (const auto* lapsed = std::get_if<SubscriptionAbandoned>(&event))
+      std::erase_if(requests, [&](const SubscriptionRequested* r) { return r->viewing.sub == lapsed->sub; });
     std::visit([&](const auto& e) { parts_->on(e); }, event);
     post.run();
   }
-  for (const Requested* request : requests) {
+  for (const SubscriptionRequested* request : requests) {
     parts_->on(*request);
     post.run();
   }
--- a/src/control.h
+++ b/src/control.h
@@ -14,15 +14,15 @@
 namespace lupinsill {
 
 using Micros = std::int64_t;
-using SubId = std::uint64_t;
+using SubscriptionId = std::uint64_t;
 using NodeId = std::uint32_t;
 
 enum class Effect { repeatable, byKey, once };
 enum class Group { all, zone, cell };
-enum class Outcome { ok, error, full, timeout, connectFailed, reset, cancelled, moot };
+enum class Outcome { ok, error, full, timeout, connectFailed, reset, cancelled, notSent };
 enum class NodeState { ready, draining, gone };
-enum class ListKind { changes, total, warmCopy, lost };
-enum class Reading { delivered, rung, link, uplink };
+enum class ListKind { changes, snapshot, cachedSnapshot, lost };
+enum class MeasurementKind { delivered, rung, link, uplink };
 
 struct RoomType {
   Effect effect = Effect::repeatable;
@@ -36,20 +36,20 @@
   int seats = 0;
 };
 
-struct FurtherJoins {
-  int few = 0;
+struct RetryBudget {
+  int minRetries = 0;
   double share = 0;
   Micros window = 0;
 };
 
 // What a deployment states at start, as far as the decisions read it.
-struct Terms {
+struct ControlSettings {
   std::vector<RoomType> roomTypes;
   std::vector<double> quotaPerSecond;  // of each tenant, over all directors
   std::vector<double> ladderKb;
   std::vector<double> rungBenefit;
-  std::vector<int> placesByKind;
-  std::optional<FurtherJoins> furtherJoins;
+  std::vector<int> slotsByKind;
+  std::optional<RetryBudget> retryBudget;
   std::string zone;
   int directors = 1;
   int ordinal = 0;
@@ -57,23 +57,23 @@
   int racks = 0;
   int maxJoins = 1;
   double weightKb = 0;
-  double allLinksKb = 0;
-  double rackKb = 0;
-  double refusesFrom = 0;
+  double totalLinkKb = 0;
+  double rackUplinkKb = 0;
+  double refusalThreshold = 0;
   double startCapacity = 1;
   double overloadFactor = 1;
   double switchSeconds = 0;
   Micros coldTime = 0;
   Micros fallTime = 0;
   Micros seenAfter = 0;
-  Micros reportsEvery = 0;
+  Micros reportInterval = 0;
   Micros maxRetryAfter = 0;
   bool retryAfter = false;
   bool cancelling = false;
   bool listOnRequest = false;
   bool uplinksReported = false;  // a note of the link is followed by one of its uplink
 
-  int placesOf(int kind) const;  // 1 at least; of a kind that is not named, as few as any has
+  int slotsOf(int kind) const;  // 1 at least; of a kind that is not named, as few as any has
 };
 
 struct ListEntry {
@@ -86,13 +86,13 @@
   std::string zone;
 };
 
-struct ListTold {
+struct ListUpdate {
   ListKind kind = ListKind::changes;
   std::vector<ListEntry> entries;
 };
 
-struct Viewing {
-  SubId sub = 0;
+struct SubscriptionInfo {
+  SubscriptionId sub = 0;
   std::string title;
   std::string viewer;
   int roomType = 0;
@@ -100,29 +100,29 @@
   int firstCell = 0;
   int holders = 0;
   int top = 0;
-  Micros giveUpAt = 0;
+  Micros deadline = 0;
   std::optional<Micros> length;
   bool moved = false;
 };
 
-struct Requested {
-  Viewing viewing;
+struct SubscriptionRequested {
+  SubscriptionInfo viewing;
 };
 
-struct UnderWay {
-  Viewing viewing;
+struct SubscriptionAdopted {
+  SubscriptionInfo viewing;
   NodeId node = 0;
 };
 
-struct Began {
-  SubId sub = 0;
+struct JoinStarted {
+  SubscriptionId sub = 0;
   int join = 0;
 };
 
-struct Noted {
-  SubId sub = 0;
+struct MeasurementReported {
+  SubscriptionId sub = 0;
   NodeId node = 0;
-  Reading reading = Reading::delivered;
+  MeasurementKind reading = MeasurementKind::delivered;
   double value = 0;
 };
 
@@ -133,7 +133,7 @@
 };
 
 struct JoinEnded {
-  SubId sub = 0;
+  SubscriptionId sub = 0;
   NodeId node = 0;
   int join = 0;
   Outcome outcome = Outcome::ok;
@@ -141,54 +141,55 @@
   LoadReport report;
 };
 
-struct Lapsed {
-  SubId sub = 0;
+struct SubscriptionAbandoned {
+  SubscriptionId sub = 0;
 };
 
-struct AlarmRang {
+struct TimerFired {
   std::int64_t key = 0;
 };
 
-using Event = std::variant<ListTold, Requested, UnderWay, Began, Noted, JoinEnded, Lapsed, AlarmRang>;
+using Event = std::variant<ListUpdate, SubscriptionRequested, SubscriptionAdopted, JoinStarted,
+                           MeasurementReported, JoinEnded, SubscriptionAbandoned, TimerFired>;
 
 struct SetRung {
-  SubId sub;
+  SubscriptionId sub;
   int rung;
 };
 
 struct Join {
-  SubId sub;
+  SubscriptionId sub;
   NodeId node;
-  Micros patience;  // 0: until the client timeout
+  Micros timeout;  // 0: until the client timeout
 };
 
-struct CallOff {
-  SubId sub;
+struct CancelJoin {
+  SubscriptionId sub;
   int join;
 };
 
 struct Throttle {
-  SubId sub;
+  SubscriptionId sub;
   Micros retryAfter;  // 0: no advice
 };
 
 struct Terminate {
-  SubId sub;
+  SubscriptionId sub;
 };
 
-struct SetAlarm {
+struct SetTimer {
   std::int64_t key;
   Micros span;
 };
 
-struct FollowList {};
+struct WatchList {};
 
 // When a viewer that is turned away should come back, decided here for the module and for the front before
 // it. Guards against a crowd throttled in one moment that is told to return in one moment: each next one is
 // told another time, evenly spread over half to one and a half of the middle, the same on every run.
-class ComeBack {
+class RetryAfterSchedule {
  public:
-  explicit ComeBack(const Terms& terms);
+  explicit RetryAfterSchedule(const ControlSettings& terms);
   Micros next();  // 0: none may be told
 
  private:
@@ -196,11 +197,11 @@
   double place_ = 0;
 };
 
-using Action = std::variant<SetRung, Join, CallOff, Throttle, Terminate, SetAlarm, FollowList>;
+using Action = std::variant<SetRung, Join, CancelJoin, Throttle, Terminate, SetTimer, WatchList>;
 
 class Control {
  public:
-  Control(Terms terms, std::uint64_t seed);
+  Control(ControlSettings terms, std::uint64_t seed);
   ~Control();
   Control(Control&&) noexcept;
   Control& operator=(Control&&) noexcept;
--- a/src/terms/terms.h
+++ b/src/control_settings/control_settings.h
@@ -6,9 +6,9 @@
 #include <vector>
 
 #include "control.h"
-#include "terms/reading.h"
+#include "control_settings/json_reader.h"
 
-namespace lupinsill::terms {
+namespace lupinsill::control_settings {
 
 // The names that the settings state and that events then refer to.
 struct Names {
@@ -25,6 +25,6 @@
 inline constexpr Reported reported[] = {
     {"cpu", &LoadReport::linkShare}, {"x0", &LoadReport::linkUse}, {"x1", &LoadReport::uplinkUse}};
 
-Terms termsOf(const Json& options, Names& names);
+ControlSettings parseControlSettings(const Json& options, Names& names);
 
-}  // namespace lupinsill::terms
+}  // namespace lupinsill::control_settings
--- a/src/terms/reading.cpp
+++ b/src/control_settings/json_reader.cpp
@@ -1,13 +1,13 @@
-#include "terms/reading.h"
+#include "control_settings/json_reader.h"
 
 #include <algorithm>
 #include <cmath>
 
-namespace lupinsill::terms {
+namespace lupinsill::control_settings {
 
-void bad(const std::string& what, const std::string& why) { throw BadInput(what + ": " + why); }
+void bad(const std::string& what, const std::string& why) { throw InvalidInput(what + ": " + why); }
 
-std::int64_t wholeIn(const Json& value, const std::string& what, std::int64_t least, std::int64_t most) {
+std::int64_t parseInteger(const Json& value, const std::string& what, std::int64_t least, std::int64_t most) {
   std::int64_t whole = 0;
   if (value.is_number_unsigned()) {
     const auto big = value.get<std::uint64_t>();
@@ -26,19 +26,21 @@
   return whole;
 }
 
-double realIn(const Json& value, const std::string& what) {
+double parseNumber(const Json& value, const std::string& what) {
   if (!value.is_number()) bad(what, "not a number");
   const double real = value.get<double>();
   if (!std::isfinite(real)) bad(what, "out of range");
   return real;
 }
 
-std::string textIn(const Json& value, const std::string& what) {
+std::string parseText(const Json& value, const std::string& what) {
   if (!value.is_string()) bad(what, "not text");
   return value.get<std::string>();
 }
 
-Micros microsIn(const Json& nanos, const std::string& what) { return wholeIn(nanos, what) / 1000; }
+Micros parseNanoseconds(const Json& nanos, const std::string& what) {
+  return parseInteger(nanos, what) / 1000;
+}
 
 // A key that is absent or null keeps what stands there already.
 const Json* found(const Json& object, const char* key) {
@@ -47,14 +49,14 @@
   return it == object.end() || it->is_null() ? nullptr : &*it;
 }
 void read(const Json& object, const char* key, double& into) {
-  if (const Json* value = found(object, key)) into = realIn(*value, key);
+  if (const Json* value = found(object, key)) into = parseNumber(*value, key);
 }
 void read(const Json& object, const char* key, int& into) {
   if (const Json* value = found(object, key))
-    into = static_cast<int>(wholeIn(*value, key, -1'000'000'000, 1'000'000'000));
+    into = static_cast<int>(parseInteger(*value, key, -1'000'000'000, 1'000'000'000));
 }
 void readMicros(const Json& object, const char* key, Micros& into) {
-  if (const Json* value = found(object, key)) into = microsIn(*value, key);
+  if (const Json* value = found(object, key)) into = parseNanoseconds(*value, key);
 }
 void read(const Json& object, const char* key, bool& into) {
   if (const Json* value = found(object, key)) {
@@ -63,7 +65,7 @@
   }
 }
 void read(const Json& object, const char* key, std::string& into) {
-  if (const Json* value = found(object, key)) into = textIn(*value, key);
+  if (const Json* value = found(object, key)) into = parseText(*value, key);
 }
 const Json& listIn(const Json& object, const char* key) {
   static const Json none = Json::array();
@@ -88,4 +90,4 @@
   return it == names.end() ? -1 : static_cast<int>(it - names.begin());
 }
 
-}  // namespace lupinsill::terms
+}  // namespace lupinsill::control_settings
--- a/src/terms/reading.h
+++ b/src/control_settings/json_reader.h
@@ -12,21 +12,21 @@
 
 #include "control.h"
 
-namespace lupinsill::terms {
+namespace lupinsill::control_settings {
 
 using Json = nlohmann::json;
 
-struct BadInput : std::runtime_error {
+struct InvalidInput : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
 [[noreturn]] void bad(const std::string& what, const std::string& why);
-std::int64_t wholeIn(const Json& value, const std::string& what,
-                     std::int64_t least = std::numeric_limits<std::int64_t>::min(),
-                     std::int64_t most = std::numeric_limits<std::int64_t>::max());
-double realIn(const Json& value, const std::string& what);
-std::string textIn(const Json& value, const std::string& what);
-Micros microsIn(const Json& nanos, const std::string& what);
+std::int64_t parseInteger(const Json& value, const std::string& what,
+                          std::int64_t least = std::numeric_limits<std::int64_t>::min(),
+                          std::int64_t most = std::numeric_limits<std::int64_t>::max());
+double parseNumber(const Json& value, const std::string& what);
+std::string parseText(const Json& value, const std::string& what);
+Micros parseNanoseconds(const Json& nanos, const std::string& what);
 
 // A key that is absent or null keeps what stands there already.
 const Json* found(const Json& object, const char* key);
@@ -41,11 +41,11 @@
 int placeOf(const std::vector<std::string>& names, const std::string& name);
 
 template <class E>
-E wordIn(const std::string& word, const std::string& what,
-         std::initializer_list<std::pair<const char*, E>> known) {
+E parseEnum(const std::string& word, const std::string& what,
+            std::initializer_list<std::pair<const char*, E>> known) {
   for (const auto& [name, value] : known)
     if (word == name) return value;
   bad(what, "unknown word '" + word + "'");
 }
 
-}  // namespace lupinsill::terms
+}  // namespace lupinsill::control_settings
--- a/src/director/admin.cpp
+++ b/src/director/admin.cpp
@@ -15,7 +15,7 @@
   evhttp_bound_socket* bound =
       evhttp_bind_socket_with_handle(http_.get(), at.host.c_str(), static_cast<ev_uint16_t>(at.port));
   if (bound == nullptr)
-    throw net::CannotListen("admin " + at.host + ":" + std::to_string(at.port) + ": in use?");
+    throw net::ListenError("admin " + at.host + ":" + std::to_string(at.port) + ": in use?");
   port_ = net::portOf(evhttp_bound_socket_get_listener(bound));
   evhttp_set_gencb(http_.get(), onRequest, this);
 }
@@ -48,7 +48,7 @@
 }  // namespace
 
 AdminAnswer askAdmin(const settings::Endpoint& at, const std::string& method, const std::string& path) {
-  const net::Base base(event_base_new());
+  const net::EventBase base(event_base_new());
   Pending pending{base.get(), {0, "", ""}};
   evhttp_connection* connection =
       evhttp_connection_base_new(base.get(), nullptr, at.host.c_str(), static_cast<ev_uint16_t>(at.port));
--- a/src/director/admin.h
+++ b/src/director/admin.h
@@ -20,7 +20,7 @@
 class Admin {
  public:
   using Serve = std::function<AdminAnswer(const std::string& method, const std::string& path)>;
-  // Throws net::CannotListen.
+  // Throws net::ListenError.
   Admin(event_base* base, const settings::Endpoint& at, Serve serve);
   int port() const { return port_; }
 
--- a/src/director/director.cpp
+++ b/src/director/director.cpp
@@ -16,12 +16,12 @@
 #include <nlohmann/json.hpp>
 #include <sstream>
 
+#include "admission/call_manager.h"
+#include "admission/request_translator.h"
 #include "director/admin.h"
 #include "director/log.h"
 #include "fleet/membership.h"
 #include "grpc/calls.h"
-#include "intake/desk.h"
-#include "intake/reception.h"
 #include "media/nodes.h"
 #include "net/handles.h"
 #include "store/store.h"
@@ -36,7 +36,7 @@
 constexpr int catchUpPasses = 16;
 constexpr Micros flushTime = 500'000;  // for last answers at the end
 
-class Director final : public player::Ear, public media::Nodes::Ear {
+class Director final : public session_api::Handler, public media::Nodes::Handler {
  public:
   explicit Director(const Start& start);
   int loop();
@@ -47,27 +47,27 @@
     int roomType;
   };
 
-  bool asked(session::Line line, const player::AskMessage& ask, std::string& why) override;
-  void left(session::Line line) override { front_.leave(line), asked_.erase(line); }
-  void closed(session::Line line) override { front_.closed(line), asked_.erase(line); }
-  bool leaves(session::JoinKey join) override { return front_.leaves(net::monotonicNow(), join); }
-  void began(session::JoinKey join) override;
-  void ended(session::JoinKey join, Outcome outcome, const LoadReport& report, bool finished) override {
-    front_.ended(join, outcome, report, finished);
+  bool onRequest(session::CallId callId, const session_api::PlayMessage& ask, std::string& why) override;
+  void onLeave(session::CallId callId) override { front_.leave(callId), asked_.erase(callId); }
+  void onClosed(session::CallId callId) override { front_.closed(callId), asked_.erase(callId); }
+  bool mayWrite(session::JoinId join) override { return front_.mayWrite(net::monotonicNow(), join); }
+  void joinStarted(session::JoinId join) override;
+  void joinEnded(session::JoinId join, Outcome outcome, const LoadReport& report, bool finished) override {
+    front_.joinEnded(join, outcome, report, finished);
   }
-  void noted(session::JoinKey join, Reading reading, double value) override {
-    front_.noted(join, reading, value);
+  void measured(session::JoinId join, MeasurementKind reading, double value) override {
+    front_.measured(join, reading, value);
   }
-  void drains(NodeId node) override;
+  void nodeDrains(NodeId node) override;
 
   void turn();
-  void carry(const session::Order& order);
-  void say(session::Line line, const player::AnswerMessage& message);
+  void carry(const session::Command& order);
+  void say(session::CallId callId, const session_api::AnswerMessage& message);
   void follow();
   std::size_t sockets() const;
   enum class Kind { playing, throttled, terminated };
   static constexpr std::size_t kinds = 3;
-  void answered(session::Line line, Kind kind);
+  void answered(session::CallId callId, Kind kind);
   void makeAnswerTimes();
   void look(bool first);
   void keepList(const std::string& bytes);
@@ -86,17 +86,17 @@
   settings::Deployment deployment_;
   std::string runName_;  // of this run: subscriptions of an earlier one are others
   ticket::KeyRing ticketKeys_;
-  net::Base base_;
+  net::EventBase base_;
   std::unique_ptr<net::Tls> webTls_, grpcTls_, nodesTls_;  // where the settings name files
   fleet::Membership membership_;
   session::Front front_;
   media::Nodes nodes_;
-  intake::Reception reception_;
-  intake::Desk desk_;
+  admission::RequestTranslator reception_;
+  admission::CallManager desk_;
   std::unique_ptr<websocket::Players> players_;
-  std::unique_ptr<grpc::Calls> calls_;  // where the settings name a place for it
-  std::vector<intake::Door*> doors_;    // of both, as they are
-  std::vector<intake::Due> dues_;
+  std::unique_ptr<grpc::Calls> calls_;           // where the settings name a place for it
+  std::vector<admission::PlayerServer*> doors_;  // of both, as they are
+  std::vector<admission::DueAction> dues_;
   std::unique_ptr<Admin> admin_;
   net::Event wake_;
   struct Descriptor {
@@ -108,17 +108,17 @@
   net::Event storedEvent_;
   std::unique_ptr<store::Store> store_;
   std::vector<net::Event> signals_;
-  std::map<session::Line, AskedAt> asked_;
+  std::map<session::CallId, AskedAt> asked_;
   // For the lab's hooks alone: what a step is about, and calls to cut once the loop is out of their
   // callbacks.
-  std::map<session::Line, std::string> titles_;
-  std::map<session::JoinKey, std::string> joinTitles_;
+  std::map<session::CallId, std::string> titles_;
+  std::map<session::JoinId, std::string> joinTitles_;
   std::vector<std::string> turnTitles_;
-  std::vector<session::Line> cuts_;
-  bool cutAt(Step step, session::Line line);
+  std::vector<session::CallId> cuts_;
+  bool cutAt(Step step, session::CallId callId);
   prometheus::Registry registry_;
   std::vector<prometheus::Histogram*> answerTimes_;  // by room type and kind of answer
-  std::vector<session::Order> orders_;
+  std::vector<session::Command> orders_;
   Micros housedAt_ = 0;
   Micros lookedAt_ = 0;
   Micros stopAt_ = 0;  // when to leave, once everything was told
@@ -145,17 +145,17 @@
   return text;
 }
 
-session::Bounds boundsOf(const settings::Deployment& deployment, const Hooks& hooks) {
-  session::Bounds bounds = deployment.bounds;
-  bounds.guarded = hooks.guarded;
+session::Limits boundsOf(const settings::Deployment& deployment, const Hooks& hooks) {
+  session::Limits bounds = deployment.bounds;
+  bounds.guardsEnabled = hooks.guardsEnabled;
   bounds.keysStored = bounds.keysStored && hooks.recorded;
   return bounds;
 }
 
-std::unique_ptr<session::Decider> deciderOf(const Start& start, const Terms& terms) {
+std::unique_ptr<session::Decider> deciderOf(const Start& start, const ControlSettings& terms) {
   const std::uint64_t seed = drawnSeed(start.seed);
   if (start.hooks.decider) return start.hooks.decider(terms, seed);
-  return std::make_unique<session::ByControl>(terms, seed);
+  return std::make_unique<session::ControlDecider>(terms, seed);
 }
 
 std::unique_ptr<net::Tls> tlsOf(net::Tls::Side side, const net::TlsFiles& files, const char* protocol) {
@@ -173,11 +173,11 @@
       [tls](event_base* base, const std::string& host, int port) { return tls->connect(base, host, port); };
 }
 
-intake::Bounds deskBounds(const settings::Deployment& deployment) {
-  intake::Bounds bounds;
+admission::Limits deskBounds(const settings::Deployment& deployment) {
+  admission::Limits bounds;
   bounds.peers = static_cast<std::size_t>(deployment.sockets.connections);
-  bounds.callsPerPeer = static_cast<std::size_t>(deployment.sockets.asksPerSocket);
-  bounds.askWait = deployment.sockets.handshake;
+  bounds.maxCallsPerPeer = static_cast<std::size_t>(deployment.sockets.asksPerSocket);
+  bounds.requestTimeout = deployment.sockets.handshake;
   return bounds;
 }
 
@@ -226,13 +226,13 @@
   // The list of before a restart comes first: it is all there is if the list's source is out of reach.
   try {
     const Micros offset = net::monotonicNow() - net::wallNow();
-    front_.told(membership_.startFrom(settings::readNodes(deployment_.keptAs, deployment_, offset)));
+    front_.listUpdated(membership_.restore(settings::readNodes(deployment_.keptAs, deployment_, offset)));
     log(Level::info, "list-kept",
         {{"version", std::to_string(membership_.version())},
-         {"nodes", std::to_string(membership_.boxes().size())}});
+         {"nodes", std::to_string(membership_.endpoints().size())}});
   } catch (const settings::BadSettings& bad) {
     log(Level::info, "list-not-kept", {{"why", bad.what()}});
-    front_.told({ListKind::warmCopy, {}});
+    front_.listUpdated({ListKind::cachedSnapshot, {}});
   }
   look(true);
 
@@ -267,7 +267,7 @@
 
 std::size_t Director::sockets() const {
   std::size_t all = 0;
-  for (const intake::Door* door : doors_) all += door->sockets();
+  for (const admission::PlayerServer* door : doors_) all += door->sockets();
   return all;
 }
 
@@ -331,17 +331,17 @@
       for (int pass = 0; pass < catchUpPasses; ++pass) event_base_loop(base_.get(), EVLOOP_NONBLOCK);
     last = net::monotonicNow();
     turn();
-    for (const session::Line line : std::exchange(cuts_, {}))
-      for (intake::Door* door : doors_) door->cut(line);
+    for (const session::CallId callId : std::exchange(cuts_, {}))
+      for (admission::PlayerServer* door : doors_) door->cut(callId);
     if (last - housedAt_ >= housekeeping) house();
     if (stopping_ && stopAt_ == 0) {
-      for (intake::Door* door : doors_) door->closeAll();
+      for (admission::PlayerServer* door : doors_) door->closeAll();
       stopAt_ = last + flushTime;
     }
     if (stopAt_ != 0 && (last >= stopAt_ || sockets() == 0)) break;
     if (drainingOut_ && !stopping_) {
-      const session::Figures figures = front_.figures();
-      if (figures.open == 0 && figures.plays == 0) {
+      const session::Statistics statistics = front_.statistics();
+      if (statistics.open == 0 && statistics.plays == 0) {
         log(Level::info, "drained", {});
         stopping_ = true;
         front_.endAll();
@@ -355,12 +355,12 @@
 void Director::house() {
   const Micros now = housedAt_ = net::monotonicNow();
   follow();
-  for (intake::Door* door : doors_) door->tick(now);
+  for (admission::PlayerServer* door : doors_) door->tick(now);
   nodes_.tick(now);
   if (now - lookedAt_ >= deployment_.lookEvery) look(false);
-  if (ListTold told = membership_.confirm(now); !told.entries.empty()) {
+  if (ListUpdate told = membership_.confirmRemovals(now); !told.entries.empty()) {
     log(Level::warn, "list-confirmed", {{"gone", std::to_string(told.entries.size())}});
-    front_.told(std::move(told));
+    front_.listUpdated(std::move(told));
   }
 }
 
@@ -368,36 +368,36 @@
   const Micros now = net::monotonicNow();
   if (now < front_.due()) return;
   orders_.clear();
-  front_.turn(now, orders_);
+  front_.processTurn(now, orders_);
   if (start_.hooks.tamper) start_.hooks.tamper(now, orders_);
   if (start_.hooks.at)
     for (const std::string& title : std::exchange(turnTitles_, {})) start_.hooks.at(Step::askDecided, title);
-  for (const session::Order& order : orders_) carry(order);
+  for (const session::Command& order : orders_) carry(order);
   if (store_) store_->write(front_.takeWrites());
 }
 
 // ---- asks and answers ----
 
-bool Director::asked(session::Line line, const player::AskMessage& ask, std::string& why) {
+bool Director::onRequest(session::CallId callId, const session_api::PlayMessage& ask, std::string& why) {
   const Micros now = net::monotonicNow();
-  auto read = reception_.read(line, ask, desk_.timeLeft(now, line), membership_, why);
+  auto read = reception_.translate(callId, ask, desk_.timeLeft(now, callId), membership_, why);
   if (!read) return false;
   if (start_.hooks.at) {
-    titles_[line] = read->title;
-    if (cutAt(Step::askRead, line)) return true;
+    titles_[callId] = read->title;
+    if (cutAt(Step::askRead, callId)) return true;
     if (start_.hooks.at(Step::askRead, read->title) == Fate::refuse) {
-      carry(session::Throttled{line, 100'000, session::WhyThrottled::busy});
+      carry(session::Throttled{callId, 100'000, session::ThrottleReason::busy});
       return true;
     }
     turnTitles_.push_back(read->title);
   }
-  asked_[line] = {now, read->roomType};
-  front_.ask(std::move(*read));
+  asked_[callId] = {now, read->roomType};
+  front_.submit(std::move(*read));
   return true;
 }
 
-void Director::answered(session::Line line, Kind kind) {
-  const auto it = asked_.find(line);
+void Director::answered(session::CallId callId, Kind kind) {
+  const auto it = asked_.find(callId);
   if (it == asked_.end()) return;
   const AskedAt at = it->second;
   asked_.erase(it);
@@ -418,91 +418,92 @@
       answerTimes_.push_back(&family.Add({{"answer", answer}, {"room", room}}, bounds));
 }
 
-bool Director::cutAt(Step step, session::Line line) {
-  const auto it = titles_.find(line);
+bool Director::cutAt(Step step, session::CallId callId) {
+  const auto it = titles_.find(callId);
   if (it == titles_.end() || start_.hooks.at(step, it->second) != Fate::cut) return false;
-  cuts_.push_back(line);
+  cuts_.push_back(callId);
   return true;
 }
 
-void Director::began(session::JoinKey join) {
+void Director::joinStarted(session::JoinId join) {
   if (const auto it = joinTitles_.find(join); it != joinTitles_.end())
     start_.hooks.at(Step::joinBegan, it->second);
-  front_.began(join);
-}
-
-void Director::say(session::Line line, const player::AnswerMessage& message) {
-  using player::Said;
-  const intake::Tell tell = message.said == Said::playing      ? intake::Tell::playing
-                            : message.said == Said::throttled  ? intake::Tell::throttled
-                            : message.said == Said::terminated ? intake::Tell::terminated
-                            : message.said == Said::rung       ? intake::Tell::rung
-                            : message.said == Said::ended      ? intake::Tell::ended
-                                                               : intake::Tell::error;
-  const bool answer =
-      tell == intake::Tell::playing || tell == intake::Tell::throttled || tell == intake::Tell::terminated;
-  if (start_.hooks.at && answer && cutAt(Step::answerDecided, line)) return;
-  const intake::Send send = desk_.tell(line, tell);
-  if (send == intake::Send::no) return;
-  for (intake::Door* door : doors_)
-    if (door->carry(line, message, send == intake::Send::andEnd)) return;
+  front_.joinStarted(join);
+}
+
+void Director::say(session::CallId callId, const session_api::AnswerMessage& message) {
+  using session_api::AnswerKind;
+  const admission::ReplyKind tell = message.kind == AnswerKind::playing     ? admission::ReplyKind::playing
+                                    : message.kind == AnswerKind::throttled ? admission::ReplyKind::throttled
+                                    : message.kind == AnswerKind::terminated
+                                        ? admission::ReplyKind::terminated
+                                    : message.kind == AnswerKind::rung  ? admission::ReplyKind::rung
+                                    : message.kind == AnswerKind::ended ? admission::ReplyKind::ended
+                                                                        : admission::ReplyKind::error;
+  const bool answer = tell == admission::ReplyKind::playing || tell == admission::ReplyKind::throttled ||
+                      tell == admission::ReplyKind::terminated;
+  if (start_.hooks.at && answer && cutAt(Step::answerDecided, callId)) return;
+  const admission::SendMode send = desk_.reply(callId, tell);
+  if (send == admission::SendMode::drop) return;
+  for (admission::PlayerServer* door : doors_)
+    if (door->send(callId, message, send == admission::SendMode::endCall)) return;
 }
 
 // What the desk has due: the notices of a drain, and calls past their own deadline.
 void Director::follow() {
   dues_.clear();
   desk_.tick(net::monotonicNow(), dues_);
-  for (const intake::Due& due : dues_)
-    for (intake::Door* door : doors_) door->carry(due);
+  for (const admission::DueAction& due : dues_)
+    for (admission::PlayerServer* door : doors_) door->send(due);
 }
 
-void Director::carry(const session::Order& order) {
-  using player::AnswerMessage;
-  using player::Said;
+void Director::carry(const session::Command& order) {
+  using session_api::AnswerKind;
+  using session_api::AnswerMessage;
   if (const auto* playing = std::get_if<session::Playing>(&order)) {
-    const fleet::Box* box = membership_.find(playing->node);
+    const fleet::NodeEndpoint* endpoint = membership_.find(playing->node);
     AnswerMessage message;
-    message.said = Said::playing;
+    message.kind = AnswerKind::playing;
     message.subscription = runName_ + "-" + std::to_string(playing->sub);
-    message.node = box == nullptr ? "" : box->host + ":" + std::to_string(box->port);
+    message.node = endpoint == nullptr ? "" : endpoint->host + ":" + std::to_string(endpoint->port);
     message.rung = playing->rung;
     message.ticket =
         ticket::sign(ticketKeys_.front(), {message.subscription, message.node, playing->rung,
                                            (net::wallNow() + deployment_.ticketValid) / 1'000'000});
-    answered(playing->line, Kind::playing);
-    say(playing->line, message);
+    answered(playing->callId, Kind::playing);
+    say(playing->callId, message);
   } else if (const auto* throttled = std::get_if<session::Throttled>(&order)) {
     AnswerMessage message;
-    message.said = Said::throttled;
-    message.reason = nameOf(throttled->why);
+    message.kind = AnswerKind::throttled;
+    message.reason = nameOf(throttled->reason);
     message.retryAfter = throttled->retryAfter;
-    answered(throttled->line, Kind::throttled);
-    say(throttled->line, message);
+    answered(throttled->callId, Kind::throttled);
+    say(throttled->callId, message);
   } else if (const auto* terminated = std::get_if<session::Terminated>(&order)) {
     AnswerMessage message;
-    message.said = Said::terminated;
-    message.reason = nameOf(terminated->why);
-    answered(terminated->line, Kind::terminated);
-    say(terminated->line, message);
-  } else if (const auto* rung = std::get_if<session::RungNow>(&order)) {
+    message.kind = AnswerKind::terminated;
+    message.reason = nameOf(terminated->reason);
+    answered(terminated->callId, Kind::terminated);
+    say(terminated->callId, message);
+  } else if (const auto* rung = std::get_if<session::RungChanged>(&order)) {
     AnswerMessage message;
-    message.said = Said::rung;
+    message.kind = AnswerKind::rung;
     message.rung = rung->rung;
-    say(rung->line, message);
+    say(rung->callId, message);
   } else if (const auto* end = std::get_if<session::Ended>(&order)) {
     AnswerMessage message;
-    message.said = Said::ended;
-    message.reason = nameOf(end->why);
+    message.kind = AnswerKind::ended;
+    message.reason = nameOf(end->reason);
     message.retryAfter = end->retryAfter;
-    say(end->line, message);
+    say(end->callId, message);
   } else if (const auto* setUp = std::get_if<session::SetUp>(&order)) {
-    const fleet::Box* box = membership_.find(setUp->node);
-    if (box == nullptr) return front_.ended(setUp->join, Outcome::connectFailed, {}, false);
+    const fleet::NodeEndpoint* endpoint = membership_.find(setUp->node);
+    if (endpoint == nullptr) return front_.joinEnded(setUp->join, Outcome::connectFailed, {}, false);
     if (start_.hooks.at) {
       joinTitles_[setUp->join] = setUp->title;
       start_.hooks.at(Step::joinLeaves, setUp->title);
     }
-    nodes_.setUp(*setUp, *box, deployment_.roomTypes[static_cast<std::size_t>(setUp->roomType)]);
+    nodes_.setUp(*setUp, *endpoint, deployment_.roomTypes[static_cast<std::size_t>(setUp->roomType)]);
   } else if (const auto* change = std::get_if<session::ChangeRung>(&order)) {
     nodes_.change(*change);
   } else if (const auto* down = std::get_if<session::TearDown>(&order)) {
@@ -516,11 +517,11 @@
 
 // ---- the list ----
 
-void Director::drains(NodeId node) {
-  ListTold told = membership_.drains(node);
+void Director::nodeDrains(NodeId node) {
+  ListUpdate told = membership_.markDraining(node);
   if (told.entries.empty()) return;
   log(Level::info, "node-drains", {{"node", std::to_string(node)}, {"by", "itself"}});
-  front_.told(std::move(told));
+  front_.listUpdated(std::move(told));
 }
 
 void Director::look(bool first) {
@@ -537,10 +538,10 @@
   try {
     const Micros offset = net::monotonicNow() - net::wallNow();
     const std::string bytes = bytesOf(deployment_.listFile);
-    const fleet::Word word = settings::readNodes(deployment_.listFile, deployment_, offset);
-    ListTold told;
-    const fleet::Taken taken = membership_.apply(lookedAt_, word, told);
-    const bool applied = taken == fleet::Taken::applied || taken == fleet::Taken::tooMuchGone;
+    const fleet::NodeList word = settings::readNodes(deployment_.listFile, deployment_, offset);
+    ListUpdate told;
+    const fleet::UpdateResult taken = membership_.apply(lookedAt_, word, told);
+    const bool applied = taken == fleet::UpdateResult::applied || taken == fleet::UpdateResult::tooMuchGone;
     log(applied ? Level::info : Level::warn, "list",
         {{"version", std::to_string(word.version)},
          {"taken", nameOf(taken)},
@@ -548,7 +549,7 @@
     listComplaint_.clear();
     if (!applied) return;
     ++listApplied_;
-    if (!told.entries.empty() || told.kind == ListKind::total) front_.told(std::move(told));
+    if (!told.entries.empty() || told.kind == ListKind::snapshot) front_.listUpdated(std::move(told));
     keepList(bytes);
   } catch (const settings::BadSettings& bad) {
     // The list of before stays in force: no list is worse than an old one.
@@ -584,7 +585,7 @@
     setUpLog(deployment_.logLevel, deployment_.logForm, deployment_.name);
     players_->setLimits(deployment_.sockets);
     if (calls_) calls_->setLimits(deployment_.sockets);
-    desk_.setBounds(deskBounds(deployment_));
+    desk_.setLimits(deskBounds(deployment_));
     nodes_.setLimits(deployment_.nodes);
     listStat_ = {};
     log(Level::info, "reloaded", {});
@@ -611,7 +612,7 @@
 }
 
 std::string Director::status() {
-  const session::Figures f = front_.figures();
+  const session::Statistics f = front_.statistics();
   nlohmann::ordered_json json{{"director", deployment_.name},
                               {"draining", front_.draining()},
                               {"upSeconds", (net::monotonicNow() - startedAt_) / 1'000'000},
@@ -624,7 +625,7 @@
                               {"sockets", sockets()},
                               {"list",
                                {{"version", membership_.version()},
-                                {"nodes", membership_.boxes().size()},
+                                {"nodes", membership_.endpoints().size()},
                                 {"refused", listRefused_}}}};
   if (!listComplaint_.empty()) json["list"]["complaint"] = listComplaint_;
   nlohmann::ordered_json held = nlohmann::ordered_json::object();
@@ -635,18 +636,18 @@
 }
 
 std::string Director::nodesShown() {
-  std::map<NodeId, session::Front::Shown> shown;
-  for (const auto& row : front_.shown()) shown.emplace(row.node, row);
+  std::map<NodeId, session::Front::NodeStatus> shown;
+  for (const auto& row : front_.nodeStatuses()) shown.emplace(row.node, row);
   nlohmann::ordered_json rows = nlohmann::ordered_json::array();
-  for (const auto& [id, box] : membership_.boxes()) {
+  for (const auto& [id, endpoint] : membership_.endpoints()) {
     const auto it = shown.find(id);
     rows.push_back({{"node", id},
-                    {"address", box.host + ":" + std::to_string(box.port)},
-                    {"state", box.state == NodeState::ready      ? "ready"
-                              : box.state == NodeState::draining ? "draining"
-                                                                 : "gone"},
-                    {"zone", box.zone},
-                    {"cell", box.cell},
+                    {"address", endpoint.host + ":" + std::to_string(endpoint.port)},
+                    {"state", endpoint.state == NodeState::ready      ? "ready"
+                              : endpoint.state == NodeState::draining ? "draining"
+                                                                      : "gone"},
+                    {"zone", endpoint.zone},
+                    {"cell", endpoint.cell},
                     {"joinsOut", it == shown.end() ? 0 : it->second.waiting},
                     {"subscriptions", it == shown.end() ? 0 : it->second.plays}});
   }
@@ -670,10 +671,10 @@
     families.push_back(std::move(family));
   };
   const auto real = [](auto n) { return static_cast<double>(n); };
-  const session::Figures f = front_.figures();
-  const websocket::PlayersFigures& p = players_->figures();
-  const intake::Figures desk = desk_.figures();
-  const media::NodesFigures n = nodes_.figures();
+  const session::Statistics f = front_.statistics();
+  const websocket::PlayersFigures& p = players_->statistics();
+  const admission::Statistics desk = desk_.statistics();
+  const media::NodesStatistics n = nodes_.statistics();
   add("lupinsill_asks_total", "Asks taken from players", true, {{"", real(f.asks)}});
   add("lupinsill_answers_total", "Answers given, by kind", true,
       {{"playing", real(f.playing)}, {"throttled", real(f.throttled)}, {"terminated", real(f.terminated)}},
@@ -682,11 +683,11 @@
       {{"", real(f.repeated)}});
   add("lupinsill_asks_late_total", "Asks too old when they were read", true, {{"", real(f.late)}});
   add("lupinsill_standstills_total", "Gaps between turns over the stated length", true,
-      {{"", real(f.standstills)}});
+      {{"", real(f.stalls)}});
   add("lupinsill_joins_total", "Joins sent, by whether the subscription had one before", true,
       {{"first", real(f.joins - f.furtherJoins)}, {"further", real(f.furtherJoins)}}, "join");
   add("lupinsill_joins_handed_back_total", "Joins withdrawn before they were written", true,
-      {{"", real(f.handedBack)}});
+      {{"", real(f.withdrawnJoins)}});
   add("lupinsill_subscriptions_ended_total", "Subscriptions ended by their node, by why", true,
       {{"finished", real(f.ended - f.nodeLost)}, {"node-lost", real(f.nodeLost)}}, "why");
   add("lupinsill_rung_changes_total", "Changes of rung while playing", true, {{"", real(f.rungChanges)}});
@@ -707,17 +708,17 @@
   add("lupinsill_player_sockets_total", "Players' sockets, by what became of them", true,
       {{"accepted", real(desk.taken)},
        {"refused", real(desk.refused)},
-       {"unruly", real(desk.unruly)},
-       {"closed", real(p.closed + (calls_ ? calls_->figures().closed : 0))},
+       {"unruly", real(desk.abusive)},
+       {"closed", real(p.closed + (calls_ ? calls_->statistics().closed : 0))},
        {"too-slow", real(p.slow)},
-       {"bad-message", real(p.badMessages + (calls_ ? calls_->figures().badWords : 0))}},
+       {"bad-message", real(p.badMessages + (calls_ ? calls_->statistics().badWords : 0))}},
       "what");
   add("lupinsill_calls", "Asks on players' connections that are not over", false, {{"", real(desk.open)}});
   add("lupinsill_calls_total", "Calls on players' connections, by what became of them", true,
       {{"opened", real(desk.calls)},
        {"refused", real(desk.callsRefused)},
        {"deadline", real(desk.deadlines)},
-       {"wrong-word", real(desk.wrongWords)},
+       {"wrong-word", real(desk.invalidInputs)},
        {"second-answer", real(desk.secondAnswers)}},
       "what");
   add("lupinsill_node_connections", "Connections to media nodes", false, {{"", real(n.connections)}});
--- a/src/director/director.h
+++ b/src/director/director.h
@@ -1,6 +1,6 @@
 // A running director: sockets and the real clock on one side, the session core on the other, one event loop
 // between. It carries events in and orders out and decides nothing.
-// Errors at start: settings::BadSettings, net::CannotListen or std::runtime_error, each one line of text; a
+// Errors at start: settings::BadSettings, net::ListenError or std::runtime_error, each one line of text; a
 // director that has started ends only when told to.
 #pragma once
 
@@ -22,10 +22,10 @@
 
 // Where a measurement or the lab's planted faults reach in; empty in service.
 struct Hooks {
-  std::function<std::unique_ptr<session::Decider>(const Terms& terms, std::uint64_t seed)> decider;
-  std::function<void(Micros now, std::vector<session::Order>& orders)> tamper;
+  std::function<std::unique_ptr<session::Decider>(const ControlSettings& terms, std::uint64_t seed)> decider;
+  std::function<void(Micros now, std::vector<session::Command>& orders)> tamper;
   std::function<Fate(Step step, const std::string& title)> at;
-  bool guarded = true;
+  bool guardsEnabled = true;
   bool recorded = true;  // whether the ledger's store is used
 };
 
--- a/src/roster/dns.cpp
+++ b/src/discovery/dns.cpp
@@ -1,4 +1,4 @@
-#include "roster/dns.h"
+#include "discovery/dns.h"
 
 #include <arpa/inet.h>
 #include <arpa/nameser.h>
@@ -10,7 +10,7 @@
 #include <cstring>
 #include <map>
 
-namespace lupinsill::roster {
+namespace lupinsill::discovery {
 namespace {
 
 struct Host {
@@ -18,7 +18,7 @@
   std::map<std::string, std::string> facts;
 };
 
-bool wholeIn(const std::map<std::string, std::string>& facts, const char* key, std::int64_t& into) {
+bool parseInteger(const std::map<std::string, std::string>& facts, const char* key, std::int64_t& into) {
   const auto it = facts.find(key);
   if (it == facts.end()) return false;
   const char* end = it->second.data() + it->second.size();
@@ -143,8 +143,8 @@
     std::int64_t cell = 0;
     // Part of what a node is would be worse than the list of before.
     if (dot == std::string::npos || host == hosts.end() || host->second.address.empty() ||
-        !wholeIn(host->second.facts, "cell", cell) || cell > 1'000'000 ||
-        !wholeIn(host->second.facts, "started", row.startedMs))
+        !parseInteger(host->second.facts, "cell", cell) || cell > 1'000'000 ||
+        !parseInteger(host->second.facts, "started", row.startedMs))
       return std::nullopt;
     row.name = target.substr(0, dot);
     row.zone = target.substr(dot + 1, target.find('.', dot + 1) - dot - 1);
@@ -156,4 +156,4 @@
   return answer;
 }
 
-}  // namespace lupinsill::roster
+}  // namespace lupinsill::discovery
--- a/src/roster/dns.h
+++ b/src/discovery/dns.h
@@ -8,7 +8,7 @@
 #include <string_view>
 #include <vector>
 
-namespace lupinsill::roster {
+namespace lupinsill::discovery {
 
 struct Row {  // one media node as the name server words it
   std::string name, zone, kind, host;
@@ -30,4 +30,4 @@
 // as soon as it can be read.
 std::optional<Answer> read(std::string_view bytes, const std::string& service);
 
-}  // namespace lupinsill::roster
+}  // namespace lupinsill::discovery
--- a/src/fleet/inquiry.cpp
+++ b/src/fleet/list_poller.cpp
@@ -1,4 +1,4 @@
-#include "fleet/inquiry.h"
+#include "fleet/list_poller.h"
 
 namespace lupinsill::fleet {
 namespace {
@@ -10,24 +10,24 @@
 
 }  // namespace
 
-std::uint16_t Inquiry::ask(Micros now) {
+std::uint16_t ListPoller::nextQuery(Micros now) {
   due_ = now + askAgain;
   const auto number = static_cast<std::uint16_t>(chance_());
   out_[next_++ % out_.size()] = mark | number;
   return number;
 }
 
-void Inquiry::moved(Micros now) {
+void ListPoller::serverMoved(Micros now) {
   out_ = {};
   due_ = now;
 }
 
-bool Inquiry::expects(std::uint16_t number) {
+bool ListPoller::expects(std::uint16_t number) {
   for (std::uint32_t& out : out_)
     if (out == (mark | number)) return out = 0, true;
   return false;
 }
 
-void Inquiry::heard(Micros now) { due_ = now + period + static_cast<Micros>(chance_()) % spread; }
+void ListPoller::answered(Micros now) { due_ = now + period + static_cast<Micros>(chance_()) % spread; }
 
 }  // namespace lupinsill::fleet
--- a/src/fleet/inquiry.h
+++ b/src/fleet/list_poller.h
@@ -13,20 +13,20 @@
 
 namespace lupinsill::fleet {
 
-class Inquiry {
+class ListPoller {
  public:
-  explicit Inquiry(std::uint64_t seed)
+  explicit ListPoller(std::uint64_t seed)
       : chance_(static_cast<std::minstd_rand::result_type>(seed % 2147483646 + 1)) {}
 
   Micros due() const { return due_; }
   // The number of the next ask; call it once the time is due.
-  std::uint16_t ask(Micros now);
+  std::uint16_t nextQuery(Micros now);
   // Another address: it is asked at once, and what the old one was asked is void.
-  void moved(Micros now);
+  void serverMoved(Micros now);
   // Whether an answer under this number is one to an ask of ours; each number is good once.
   bool expects(std::uint16_t number);
   // A whole answer came, without a failure and no older than what is known.
-  void heard(Micros now);
+  void answered(Micros now);
 
  private:
   std::minstd_rand chance_;
--- a/src/fleet/pulse.cpp
+++ b/src/fleet/liveness_check.cpp
@@ -1,4 +1,4 @@
-#include "fleet/pulse.h"
+#include "fleet/liveness_check.h"
 
 namespace lupinsill::fleet {
 namespace {
@@ -11,13 +11,13 @@
 
 }  // namespace
 
-Pulse::Verdict Pulse::look(Micros now, bool linked, bool trying) {
-  if (!linked && refused_ >= refusals) return Verdict::over;
-  if (silent_ + refused_ >= silences && now - heard_ >= longQuiet) return Verdict::over;
-  if (trying || now - triedAt_ < between) return Verdict::fine;
-  if (linked && now - heard_ < quiet) return Verdict::fine;
+LivenessCheck::Verdict LivenessCheck::look(Micros now, bool linked, bool trying) {
+  if (!linked && refused_ >= refusals) return Verdict::dead;
+  if (silent_ + refused_ >= silences && now - heard_ >= longQuiet) return Verdict::dead;
+  if (trying || now - triedAt_ < between) return Verdict::alive;
+  if (linked && now - heard_ < quiet) return Verdict::alive;
   triedAt_ = now;
-  return Verdict::tryIt;
+  return Verdict::probe;
 }
 
 }  // namespace lupinsill::fleet
--- a/src/fleet/pulse.h
+++ b/src/fleet/liveness_check.h
@@ -8,11 +8,11 @@
 
 namespace lupinsill::fleet {
 
-class Pulse {
+class LivenessCheck {
  public:
-  enum class Verdict { fine, tryIt, over };
+  enum class Verdict { alive, probe, dead };
 
-  explicit Pulse(Micros now) : heard_(now) {}
+  explicit LivenessCheck(Micros now) : heard_(now) {}
   // Bytes came in, or a connection came up.
   void heard(Micros now) {
     heard_ = now;
@@ -21,7 +21,7 @@
   // A connection did not come up. `refused`: the machine said so; nothing listens there any more.
   void failed(bool refused) { ++(refused ? refused_ : silent_); }
   // What is to be done now about a node on which something stands. `linked`: a connection to it is up;
-  // `trying`: one is on its way. tryIt: open one.
+  // `trying`: one is on its way. probe: open one.
   Verdict look(Micros now, bool linked, bool trying);
 
  private:
--- a/src/fleet/membership.cpp
+++ b/src/fleet/membership.cpp
@@ -11,30 +11,31 @@
 
 }  // namespace
 
-const char* nameOf(Taken taken) {
+const char* nameOf(UpdateResult taken) {
   switch (taken) {
-    case Taken::applied:
+    case UpdateResult::applied:
       return "applied";
-    case Taken::same:
+    case UpdateResult::same:
       return "same";
-    case Taken::older:
+    case UpdateResult::older:
       return "older";
-    case Taken::tooMuchGone:
+    case UpdateResult::tooMuchGone:
       return "too-much-gone";
   }
   return "?";
 }
 
-ListEntry Membership::entryOf(const Box& box) const {
-  return {box.node, box.state, box.kind, box.weight, box.cell, box.readyAt, box.zone};
+ListEntry Membership::entryOf(const NodeEndpoint& endpoint) const {
+  return {endpoint.node, endpoint.state,   endpoint.kind, endpoint.weight,
+          endpoint.cell, endpoint.readyAt, endpoint.zone};
 }
 
-ListTold Membership::startFrom(const Word& word) {
-  ListTold told{ListKind::warmCopy, {}};
-  boxes_.clear();
-  for (const Box& box : word.boxes) {
-    boxes_[box.node] = box;
-    told.entries.push_back(entryOf(box));
+ListUpdate Membership::restore(const NodeList& word) {
+  ListUpdate told{ListKind::cachedSnapshot, {}};
+  endpoints_.clear();
+  for (const NodeEndpoint& endpoint : word.endpoints) {
+    endpoints_[endpoint.node] = endpoint;
+    told.entries.push_back(entryOf(endpoint));
   }
   titles_ = word.titles;
   otherTitlesEverywhere_ = word.otherTitlesEverywhere;
@@ -51,32 +52,32 @@
   return now - olderSince_ >= olderMost;
 }
 
-Taken Membership::apply(Micros now, const Word& word, ListTold& told) {
+UpdateResult Membership::apply(Micros now, const NodeList& word, ListUpdate& told) {
   // The same number again after a restart may carry what the old copy missed; older words never do.
   const bool over = word.version < version_;
-  if (over && !startedOver(now, word.version)) return Taken::older;
+  if (over && !startedOver(now, word.version)) return UpdateResult::older;
   olderSince_ = 0;
-  if (word.version == version_ && !fromBefore_) return Taken::same;
+  if (word.version == version_ && !fromBefore_) return UpdateResult::same;
 
-  std::map<NodeId, Box> next;
-  for (const Box& box : word.boxes) {
-    Box& taken = next[box.node] = box;
-    const auto own = ownDrains_.find(box.node);
+  std::map<NodeId, NodeEndpoint> next;
+  for (const NodeEndpoint& endpoint : word.endpoints) {
+    NodeEndpoint& taken = next[endpoint.node] = endpoint;
+    const auto own = ownDrains_.find(endpoint.node);
     // What was told to drain before a source started over goes on to, until the list shows a new start.
-    if (const auto held = boxes_.find(box.node);
-        over && held != boxes_.end() && held->second.state == NodeState::draining &&
-        box.state == NodeState::ready && box.readyAt <= held->second.readyAt)
-      taken.state = NodeState::draining, ownDrains_[box.node] = box.readyAt;
+    if (const auto held = endpoints_.find(endpoint.node);
+        over && held != endpoints_.end() && held->second.state == NodeState::draining &&
+        endpoint.state == NodeState::ready && endpoint.readyAt <= held->second.readyAt)
+      taken.state = NodeState::draining, ownDrains_[endpoint.node] = endpoint.readyAt;
     if (own == ownDrains_.end()) continue;
-    if (box.readyAt > own->second || box.state == NodeState::gone)
+    if (endpoint.readyAt > own->second || endpoint.state == NodeState::gone)
       ownDrains_.erase(own);
-    else if (box.state == NodeState::ready)
+    else if (endpoint.state == NodeState::ready)
       taken.state = NodeState::draining;
   }
   std::size_t ready = 0;
   std::set<NodeId> missing;
-  for (const auto& [id, box] : boxes_) {
-    if (box.state != NodeState::ready) continue;
+  for (const auto& [id, endpoint] : endpoints_) {
+    if (endpoint.state != NodeState::ready) continue;
     ++ready;
     if (!next.contains(id)) missing.insert(id);
   }
@@ -85,61 +86,62 @@
   // A word that goes on passing over the same nodes does not put the end of the doubt off.
   if (doubtful && doubted_ != missing) doubtUntil_ = now + doubtFor_;
   doubted_ = doubtful ? missing : std::set<NodeId>{};
-  for (const NodeId id : doubted_) next[id] = boxes_[id];
+  for (const NodeId id : doubted_) next[id] = endpoints_[id];
 
-  told = {fromBefore_ ? ListKind::total : ListKind::changes, {}};
-  for (const auto& [id, box] : next) {
-    const auto before = boxes_.find(id);
-    if (fromBefore_ || before == boxes_.end() || before->second != box) told.entries.push_back(entryOf(box));
+  told = {fromBefore_ ? ListKind::snapshot : ListKind::changes, {}};
+  for (const auto& [id, endpoint] : next) {
+    const auto before = endpoints_.find(id);
+    if (fromBefore_ || before == endpoints_.end() || before->second != endpoint)
+      told.entries.push_back(entryOf(endpoint));
   }
   if (!fromBefore_)
-    for (const auto& [id, box] : boxes_)
-      if (!next.contains(id) && box.state != NodeState::gone) {
-        told.entries.push_back(entryOf(box));
+    for (const auto& [id, endpoint] : endpoints_)
+      if (!next.contains(id) && endpoint.state != NodeState::gone) {
+        told.entries.push_back(entryOf(endpoint));
         told.entries.back().state = NodeState::gone;
       }
-  boxes_ = std::move(next);
-  std::erase_if(ownDrains_, [&](const auto& drain) { return !boxes_.contains(drain.first); });
+  endpoints_ = std::move(next);
+  std::erase_if(ownDrains_, [&](const auto& drain) { return !endpoints_.contains(drain.first); });
   titles_ = word.titles;
   otherTitlesEverywhere_ = word.otherTitlesEverywhere;
   version_ = word.version;
   fromBefore_ = false;
   if (doubtful) ++heldBack_;
-  return doubtful ? Taken::tooMuchGone : Taken::applied;
+  return doubtful ? UpdateResult::tooMuchGone : UpdateResult::applied;
 }
 
-ListTold Membership::confirm(Micros now) {
-  ListTold told{ListKind::changes, {}};
+ListUpdate Membership::confirmRemovals(Micros now) {
+  ListUpdate told{ListKind::changes, {}};
   if (now < doubtUntil_) return told;
   for (const NodeId id : doubted_) {
-    told.entries.push_back(entryOf(boxes_[id]));
+    told.entries.push_back(entryOf(endpoints_[id]));
     told.entries.back().state = NodeState::gone;
-    boxes_.erase(id);
+    endpoints_.erase(id);
     ownDrains_.erase(id);
   }
   doubted_.clear();
   return told;
 }
 
-ListTold Membership::drains(NodeId node) {
-  ListTold told{ListKind::changes, {}};
-  const auto it = boxes_.find(node);
-  if (it == boxes_.end() || it->second.state != NodeState::ready) return told;
+ListUpdate Membership::markDraining(NodeId node) {
+  ListUpdate told{ListKind::changes, {}};
+  const auto it = endpoints_.find(node);
+  if (it == endpoints_.end() || it->second.state != NodeState::ready) return told;
   ownDrains_[node] = it->second.readyAt;
   it->second.state = NodeState::draining;
   told.entries.push_back(entryOf(it->second));
   return told;
 }
 
-const Box* Membership::find(NodeId node) const {
-  const auto it = boxes_.find(node);
-  return it == boxes_.end() ? nullptr : &it->second;
+const NodeEndpoint* Membership::find(NodeId node) const {
+  const auto it = endpoints_.find(node);
+  return it == endpoints_.end() ? nullptr : &it->second;
 }
 
-TitleAt Membership::where(const std::string& title) const {
+TitlePlacement Membership::where(const std::string& title) const {
   const auto it = titles_.find(title);
   if (it != titles_.end()) return it->second;
-  return otherTitlesEverywhere_ ? TitleAt{0, std::max(1, cells_)} : TitleAt{};
+  return otherTitlesEverywhere_ ? TitlePlacement{0, std::max(1, cells_)} : TitlePlacement{};
 }
 
 }  // namespace lupinsill::fleet
--- a/src/fleet/membership.h
+++ b/src/fleet/membership.h
@@ -14,7 +14,7 @@
 
 namespace lupinsill::fleet {
 
-struct Box {
+struct NodeEndpoint {
   NodeId node = 0;
   std::string host;
   int port = 0;
@@ -24,24 +24,24 @@
   double weight = 1;
   std::string zone;
   Micros readyAt = 0;  // 0: long ago
-  bool operator==(const Box&) const = default;
+  bool operator==(const NodeEndpoint&) const = default;
 };
 
-struct TitleAt {
+struct TitlePlacement {
   int firstCell = 0;
   int holders = 0;
 };
 
 // One whole list, as its source worded it. Versions only grow at one source, until it starts over.
-struct Word {
+struct NodeList {
   std::uint64_t version = 0;
-  std::vector<Box> boxes;
-  std::map<std::string, TitleAt> titles;
+  std::vector<NodeEndpoint> endpoints;
+  std::map<std::string, TitlePlacement> titles;
   bool otherTitlesEverywhere = true;
 };
 
-enum class Taken { applied, same, older, tooMuchGone };
-const char* nameOf(Taken taken);
+enum class UpdateResult { applied, same, older, tooMuchGone };
+const char* nameOf(UpdateResult taken);
 
 class Membership {
  public:
@@ -53,24 +53,24 @@
       : cells_(cells), leastKept_(leastKept), doubtFor_(grace / 2) {}
 
   // The list of before a restart: taken without question, told as possibly old.
-  ListTold startFrom(const Word& word);
+  ListUpdate restore(const NodeList& word);
   // `told` is what to tell the decider; it may be empty.
-  Taken apply(Micros now, const Word& word, ListTold& told);
+  UpdateResult apply(Micros now, const NodeList& word, ListUpdate& told);
   // Nodes that were passed over and that no later word has named since: gone, once the doubt is over. Call it
   // often; it is empty otherwise.
-  ListTold confirm(Micros now);
+  ListUpdate confirmRemovals(Micros now);
   // The node itself says that it drains. That holds whatever the list says, until the list shows a new start.
-  ListTold drains(NodeId node);
+  ListUpdate markDraining(NodeId node);
 
   // The returned pointer holds until the next word.
-  const Box* find(NodeId node) const;
-  TitleAt where(const std::string& title) const;
+  const NodeEndpoint* find(NodeId node) const;
+  TitlePlacement where(const std::string& title) const;
   std::uint64_t version() const { return version_; }
-  const std::map<NodeId, Box>& boxes() const { return boxes_; }
+  const std::map<NodeId, NodeEndpoint>& endpoints() const { return endpoints_; }
   std::uint64_t heldBack() const { return heldBack_; }
 
  private:
-  ListEntry entryOf(const Box& box) const;
+  ListEntry entryOf(const NodeEndpoint& endpoint) const;
   bool startedOver(Micros now, std::uint64_t version);
 
   int cells_;
@@ -84,8 +84,8 @@
   std::set<NodeId> doubted_;            // passed over by the last word, and kept for now
   std::map<NodeId, Micros> ownDrains_;  // said by the node itself, of the start at that time
   std::uint64_t heldBack_ = 0;
-  std::map<NodeId, Box> boxes_;
-  std::map<std::string, TitleAt> titles_;
+  std::map<NodeId, NodeEndpoint> endpoints_;
+  std::map<std::string, TitlePlacement> titles_;
   bool otherTitlesEverywhere_ = true;
 };
 
--- a/src/fleet/numbering.h
+++ b/src/fleet/node_id_registry.h
@@ -12,9 +12,9 @@
 
 namespace lupinsill::fleet {
 
-class Numbering {
+class NodeIdRegistry {
  public:
-  NodeId of(const std::string& name) {
+  NodeId idOf(const std::string& name) {
     const auto [at, fresh] = numbers_.try_emplace(name, last_ + 1);
     if (fresh) ++last_;
     return at->second;
@@ -24,8 +24,8 @@
     return at == numbers_.end() ? std::nullopt : std::optional(at->second);
   }
   // Call it after every word, taken or not, with the nodes that are held now.
-  void keep(const std::map<NodeId, Box>& boxes) {
-    std::erase_if(numbers_, [&](const auto& entry) { return !boxes.contains(entry.second); });
+  void retain(const std::map<NodeId, NodeEndpoint>& endpoints) {
+    std::erase_if(numbers_, [&](const auto& entry) { return !endpoints.contains(entry.second); });
   }
 
  private:
--- a/src/grpc/calls.cpp
+++ b/src/grpc/calls.cpp
@@ -19,10 +19,11 @@
 
 }  // namespace
 
-Calls::Calls(event_base* base, player::Ear& ear, intake::Desk& desk, std::string director,
-             const settings::Endpoint& at, const settings::SocketLimits& limits, net::Accept accept)
+Calls::Calls(event_base* base, session_api::Handler& handler, admission::CallManager& desk,
+             std::string director, const settings::Endpoint& at, const settings::SocketLimits& limits,
+             net::Accept accept)
     : base_(base),
-      ear_(ear),
+      handler_(handler),
       desk_(desk),
       director_(std::move(director)),
       limits_(limits),
@@ -38,15 +39,15 @@
 
 void Calls::accept(evutil_socket_t fd) {
   net::noDelay(fd);
-  net::Bev bev = accept_(base_, fd);
-  if (!bev) return;
-  const intake::Arrival arrival = desk_.arrive(net::monotonicNow());
-  const std::uint64_t id = arrival.taken ? arrival.peer : ~++refused_;
+  net::BufferEvent bufferEvent = accept_(base_, fd);
+  if (!bufferEvent) return;
+  const admission::AcceptResult arrival = desk_.acceptPeer(net::monotonicNow());
+  const std::uint64_t id = arrival.accepted ? arrival.peer : ~++refused_;
   Peer& peer = peers_[id];
-  peer.connection = std::make_unique<Http2>(std::move(bev), *this, http2Limits(limits_), true);
+  peer.connection = std::make_unique<Http2>(std::move(bufferEvent), *this, http2Limits(limits_), true);
   peer.connection->tag = id;
   // GOAWAY with no stream taken: the client knows that nothing of it ran, and where the trouble is.
-  if (!arrival.taken) peer.connection->close(NGHTTP2_ENHANCE_YOUR_CALM);
+  if (!arrival.accepted) peer.connection->close(NGHTTP2_ENHANCE_YOUR_CALM);
 }
 
 // ---- words in ----
@@ -67,7 +68,7 @@
   const auto it = peer->second.calls.find(stream);
   if (it == peer->second.calls.end()) return;
   const bool headSent = it->second.headSent;
-  lines_.erase(it->second.line);
+  lines_.erase(it->second.callId);
   peer->second.calls.erase(it);
   if (headSent) return connection.trailers(stream, trailers);
   // "Trailers-Only": a client's own retries are allowed by it alone, and only of what never ran.
@@ -104,19 +105,19 @@
   } else if (path == watchPath) {
     call.method = Method::watch;
   } else if (path == playPath) {
-    const intake::Opened opened = desk_.open(net::monotonicNow(), connection.tag, timeout);
-    if (opened.why == intake::NotOpened::unruly) return connection.close(NGHTTP2_ENHANCE_YOUR_CALM);
-    if (opened.why == intake::NotOpened::tooManyCalls) {
-      player::AnswerMessage no;
-      no.said = player::Said::throttled;
+    const admission::OpenResult opened = desk_.open(net::monotonicNow(), connection.tag, timeout);
+    if (opened.error == admission::OpenError::abusive) return connection.close(NGHTTP2_ENHANCE_YOUR_CALM);
+    if (opened.error == admission::OpenError::tooManyCalls) {
+      session_api::AnswerMessage no;
+      no.kind = session_api::AnswerKind::throttled;
       no.reason = "busy";
       no.retryAfter = opened.retryAfter;
       return finish(connection, stream, trailersOf(no));
     }
-    call.line = opened.line;
-    lines_[opened.line] = {connection.tag, stream};
+    call.callId = opened.callId;
+    lines_[opened.callId] = {connection.tag, stream};
   } else {
-    ++figures_.unknownCalls;
+    ++statistics_.unknownCalls;
     finish(connection, stream, trailersOf(Status::unimplemented, "no such method"));
   }
 }
@@ -136,10 +137,10 @@
     it = find();
   }
   if (good || it == peer->second.calls.end()) return;
-  ++figures_.badWords;
-  const session::Line line = it->second.line;
+  ++statistics_.badWords;
+  const session::CallId callId = it->second.callId;
   const Reader::Fault fault = it->second.reader.fault();
-  if (line != 0) endLine(line);
+  if (callId != 0) endLine(callId);
   finish(connection, stream,
          fault == Reader::Fault::tooLarge ? trailersOf(Status::resourceExhausted, "message too large")
          : fault == Reader::Fault::compressed
@@ -148,9 +149,10 @@
 }
 
 // The call is over by a fault of its player: the front has to hear where it has the call.
-void Calls::endLine(session::Line line) {
-  const intake::Heard heard = desk_.word(net::monotonicNow(), line, intake::Word::reset);
-  if (heard.step == intake::Step::tellGone) ear_.closed(line);
+void Calls::endLine(session::CallId callId) {
+  const admission::InputResult heard =
+      desk_.handleInput(net::monotonicNow(), callId, admission::CallInput::reset);
+  if (heard.action == admission::CallAction::notifyClosed) handler_.onClosed(callId);
 }
 
 void Calls::said(Http2& connection, StreamId stream, Call& call, std::string_view message) {
@@ -162,31 +164,33 @@
   }
   const PlayerWord word = readPlayerWord(message);
   if (word.kind == PlayerWord::Kind::ask) return asked(connection, stream, call, word);
-  const session::Line line = call.line;
+  const session::CallId callId = call.callId;
   if (word.kind == PlayerWord::Kind::bad) {
-    ++figures_.badWords;
-    endLine(line);
+    ++statistics_.badWords;
+    endLine(callId);
     return finish(connection, stream, trailersOf(Status::invalidArgument, word.fault));
   }
-  const intake::Heard heard = desk_.word(net::monotonicNow(), line, intake::Word::leave);
+  const admission::InputResult heard =
+      desk_.handleInput(net::monotonicNow(), callId, admission::CallInput::leave);
   finish(connection, stream, trailersOf(Status::ok, ""));
-  if (heard.step == intake::Step::tellLeft) ear_.left(line);
-  if (heard.unruly) connection.close(NGHTTP2_ENHANCE_YOUR_CALM);
+  if (heard.action == admission::CallAction::notifyLeft) handler_.onLeave(callId);
+  if (heard.abusive) connection.close(NGHTTP2_ENHANCE_YOUR_CALM);
 }
 
 void Calls::asked(Http2& connection, StreamId stream, Call& call, const PlayerWord& word) {
-  const session::Line line = call.line;
-  const intake::Heard heard = desk_.word(net::monotonicNow(), line, intake::Word::ask);
-  if (heard.step == intake::Step::refuse) {
+  const session::CallId callId = call.callId;
+  const admission::InputResult heard =
+      desk_.handleInput(net::monotonicNow(), callId, admission::CallInput::request);
+  if (heard.action == admission::CallAction::reject) {
     finish(connection, stream, trailersOf(Status::invalidArgument, "one ask a call"));
-    if (heard.tellGone) ear_.closed(line);
+    if (heard.notifyClosed) handler_.onClosed(callId);
     return;
   }
-  if (heard.step != intake::Step::take) return;
+  if (heard.action != admission::CallAction::accept) return;
   std::string why;
-  if (ear_.asked(line, word.ask, why)) return;
-  desk_.refused(line);
-  player::AnswerMessage no;
+  if (handler_.onRequest(callId, word.ask, why)) return;
+  desk_.rejected(callId);
+  session_api::AnswerMessage no;
   no.reason = why;
   finish(connection, stream, trailersOf(no));
 }
@@ -201,7 +205,8 @@
     return finish(connection, stream, trailersOf(Status::internal, "a message was cut off"));
   if (call.method == Method::watch && call.asked) return;  // it goes on listening
   if (call.method != Method::play) return reply(connection, stream, call);
-  if (desk_.word(net::monotonicNow(), call.line, intake::Word::halfClose).step == intake::Step::refuse)
+  if (desk_.handleInput(net::monotonicNow(), call.callId, admission::CallInput::halfClose).action ==
+      admission::CallAction::reject)
     finish(connection, stream, trailersOf(Status::invalidArgument, "an ask expected"));
 }
 
@@ -247,23 +252,24 @@
   if (peer == peers_.end()) return;
   const auto it = peer->second.calls.find(stream);
   if (it == peer->second.calls.end()) return;
-  const session::Line line = it->second.line;
+  const session::CallId callId = it->second.callId;
   peer->second.calls.erase(it);
-  if (line == 0) return;
-  lines_.erase(line);
-  const intake::Heard heard = desk_.word(net::monotonicNow(), line, intake::Word::reset);
-  if (heard.step == intake::Step::tellGone) ear_.closed(line);
-  if (heard.unruly) connection.close(NGHTTP2_ENHANCE_YOUR_CALM);
+  if (callId == 0) return;
+  lines_.erase(callId);
+  const admission::InputResult heard =
+      desk_.handleInput(net::monotonicNow(), callId, admission::CallInput::reset);
+  if (heard.action == admission::CallAction::notifyClosed) handler_.onClosed(callId);
+  if (heard.abusive) connection.close(NGHTTP2_ENHANCE_YOUR_CALM);
 }
 
 void Calls::onClosed(Http2& connection) {
-  ++figures_.closed;
-  for (const session::Line line : desk_.depart(connection.tag)) ear_.closed(line);
+  ++statistics_.closed;
+  for (const session::CallId callId : desk_.removePeer(connection.tag)) handler_.onClosed(callId);
   dead_.push_back(connection.tag);
 }
 
-void Calls::cut(session::Line line) {
-  if (const auto it = lines_.find(line); it != lines_.end())
+void Calls::cut(session::CallId callId) {
+  if (const auto it = lines_.find(callId); it != lines_.end())
     peers_.at(it->second.peer).connection->reset(it->second.stream, NGHTTP2_INTERNAL_ERROR);
 }
 
@@ -271,9 +277,9 @@
   for (auto& [id, peer] : peers_) {
     // Calls that never asked hold nothing that the front would answer.
     while (!peer.calls.empty()) {
-      const session::Line line = peer.calls.begin()->second.line;
+      const session::CallId callId = peer.calls.begin()->second.callId;
       const StreamId stream = peer.calls.begin()->first;
-      if (line != 0) endLine(line);
+      if (callId != 0) endLine(callId);
       finish(*peer.connection, stream, trailersOf(Status::unavailable, "director goes"));
     }
     peer.connection->lastWord();
@@ -283,14 +289,14 @@
 
 // ---- words out ----
 
-bool Calls::carry(session::Line line, const player::AnswerMessage& message, bool ends) {
-  const auto at = lines_.find(line);
+bool Calls::send(session::CallId callId, const session_api::AnswerMessage& message, bool ends) {
+  const auto at = lines_.find(callId);
   if (at == lines_.end()) return false;
   const StreamId stream = at->second.stream;
   Peer& peer = peers_.at(at->second.peer);
   Http2& connection = *peer.connection;
-  if (message.said == player::Said::playing || message.said == player::Said::rung ||
-      message.said == player::Said::ended) {
+  if (message.kind == session_api::AnswerKind::playing || message.kind == session_api::AnswerKind::rung ||
+      message.kind == session_api::AnswerKind::ended) {
     sendHead(connection, stream, peer.calls.at(stream));
     connection.send(stream, framed(bytesOf(message)));
   }
@@ -298,26 +304,26 @@
   return true;
 }
 
-void Calls::carry(const intake::Due& due) {
+void Calls::send(const admission::DueAction& due) {
   const auto it = peers_.find(due.peer);
   if (it == peers_.end()) return;
   Http2& connection = *it->second.connection;
-  switch (due.what) {
-    case intake::Due::What::notice:
+  switch (due.kind) {
+    case admission::DueAction::Kind::drainNotice:
       return connection.notice();
-    case intake::Due::What::lastWord:
+    case admission::DueAction::Kind::finalDrainNotice:
       return connection.lastWord();
-    case intake::Due::What::endPeer: {
+    case admission::DueAction::Kind::closePeer: {
       while (!it->second.calls.empty())
         finish(connection, it->second.calls.begin()->first,
                trailersOf(Status::unavailable, "director drains"));
       return connection.closeWhenIdle();
     }
-    case intake::Due::What::endCall: {
-      const auto at = lines_.find(due.line);
+    case admission::DueAction::Kind::endCall: {
+      const auto at = lines_.find(due.callId);
       if (at != lines_.end())
         finish(connection, at->second.stream, trailersOf(Status::deadlineExceeded, "deadline"));
-      if (due.tellGone) ear_.closed(due.line);
+      if (due.notifyClosed) handler_.onClosed(due.callId);
       return;
     }
   }
--- a/src/grpc/calls.h
+++ b/src/grpc/calls.h
@@ -7,9 +7,9 @@
 #include <memory>
 #include <string>
 
+#include "admission/player_server.h"
 #include "grpc/http2.h"
 #include "grpc/messages.h"
-#include "intake/door.h"
 #include "net/handles.h"
 #include "settings/deployment.h"
 
@@ -19,9 +19,9 @@
   std::uint64_t badWords = 0, unknownCalls = 0, closed = 0;
 };
 
-class Calls final : public Http2::Ear, public intake::Door {
+class Calls final : public Http2::Handler, public admission::PlayerServer {
  public:
-  Calls(event_base* base, player::Ear& ear, intake::Desk& desk, std::string director,
+  Calls(event_base* base, session_api::Handler& handler, admission::CallManager& desk, std::string director,
         const settings::Endpoint& at, const settings::SocketLimits& limits, net::Accept accept);
 
   int port() const { return net::portOf(listener_.get()); }
@@ -29,19 +29,19 @@
   void stopAccepting() { listener_.reset(); }
   // What health says from now on; those who watch are told.
   void setServing(bool serving);
-  bool carry(session::Line line, const player::AnswerMessage& message, bool ends) override;
-  void carry(const intake::Due& due) override;
-  void cut(session::Line line) override;
+  bool send(session::CallId callId, const session_api::AnswerMessage& message, bool ends) override;
+  void send(const admission::DueAction& due) override;
+  void cut(session::CallId callId) override;
   void closeAll() override;
   void tick(Micros now) override;
   std::size_t sockets() const override { return peers_.size() - dead_.size(); }
-  const CallsFigures& figures() const { return figures_; }
+  const CallsFigures& statistics() const { return statistics_; }
 
  private:
   enum class Method { play, who, check, watch };
   struct Call {
     Method method = Method::play;
-    session::Line line = 0;
+    session::CallId callId = 0;
     Reader reader{4096};
     bool headSent = false;
     bool asked = false;  // of one-shot calls: its message has come
@@ -69,12 +69,12 @@
   Headers head() const;
   void sendHead(Http2& connection, StreamId stream, Call& call);
   void finish(Http2& connection, StreamId stream, const Headers& trailers);
-  void endLine(session::Line line);
+  void endLine(session::CallId callId);
   Serving servingOf(const std::string& service) const;
 
   event_base* base_;
-  player::Ear& ear_;
-  intake::Desk& desk_;
+  session_api::Handler& handler_;
+  admission::CallManager& desk_;
   std::string director_;
   settings::SocketLimits limits_;
   net::Accept accept_;
@@ -82,9 +82,9 @@
   bool serving_ = true;
   std::uint64_t refused_ = 0;  // counts down from the top: never a peer's number
   std::map<std::uint64_t, Peer> peers_;
-  std::map<session::Line, LineAt> lines_;
+  std::map<session::CallId, LineAt> lines_;
   std::vector<std::uint64_t> dead_;
-  CallsFigures figures_;
+  CallsFigures statistics_;
 };
 
 }  // namespace lupinsill::grpc
--- a/src/grpc/http2.cpp
+++ b/src/grpc/http2.cpp
@@ -25,8 +25,8 @@
 
 }  // namespace
 
-Http2::Http2(net::Bev bev, Ear& ear, const Http2Limits& limits, bool server)
-    : bev_(std::move(bev)), ear_(ear), limits_(limits), server_(server) {
+Http2::Http2(net::BufferEvent bufferEvent, Handler& handler, const Http2Limits& limits, bool server)
+    : bufferEvent_(std::move(bufferEvent)), handler_(handler), limits_(limits), server_(server) {
   openedAt_ = heardAt_ = pingedAt_ = net::monotonicNow();
   nghttp2_session_callbacks* callbacks = nullptr;
   nghttp2_session_callbacks_new(&callbacks);
@@ -48,10 +48,10 @@
   }};
   // A server does not speak of push.
   nghttp2_submit_settings(session_, NGHTTP2_FLAG_NONE, entries.data(), server_ ? 2 : 3);
-  bufferevent_setcb(bev_.get(), onRead, onWrite, onEvent, this);
+  bufferevent_setcb(bufferEvent_.get(), onRead, onWrite, onEvent, this);
   // Guards against a peer that sends faster than it is served: what is not read stays in the kernel.
-  bufferevent_setwatermark(bev_.get(), EV_READ, 0, outputMost);
-  bufferevent_enable(bev_.get(), EV_READ | EV_WRITE);
+  bufferevent_setwatermark(bufferEvent_.get(), EV_READ, 0, outputMost);
+  bufferevent_enable(bufferEvent_.get(), EV_READ | EV_WRITE);
   pump();
 }
 
@@ -64,7 +64,7 @@
 
 bool Http2::flushed() const {
   return state_ == State::dead || (nghttp2_session_want_write(session_) == 0 &&
-                                   evbuffer_get_length(bufferevent_get_output(bev_.get())) == 0);
+                                   evbuffer_get_length(bufferevent_get_output(bufferEvent_.get())) == 0);
 }
 
 // ---- out ----
@@ -177,12 +177,12 @@
   if (state_ == State::dead) return;
   state_ = State::dead;
   streams_.clear();
-  bev_.reset();
+  bufferEvent_.reset();
 }
 
 void Http2::pump() {
   if (reading_ || state_ == State::dead) return;
-  evbuffer* output = bufferevent_get_output(bev_.get());
+  evbuffer* output = bufferevent_get_output(bufferEvent_.get());
   reading_ = true;
   while (evbuffer_get_length(output) < outputMost) {
     const std::uint8_t* bytes = nullptr;
@@ -198,14 +198,14 @@
 void Http2::die() {
   if (state_ == State::dead) return;
   state_ = State::dead;
-  bufferevent_disable(bev_.get(), EV_READ | EV_WRITE);
-  bufferevent_setcb(bev_.get(), nullptr, nullptr, nullptr, nullptr);
+  bufferevent_disable(bufferEvent_.get(), EV_READ | EV_WRITE);
+  bufferevent_setcb(bufferEvent_.get(), nullptr, nullptr, nullptr, nullptr);
   while (!streams_.empty()) {
     const StreamId id = streams_.begin()->first;
     streams_.erase(streams_.begin());
-    ear_.onStreamClosed(*this, id, NGHTTP2_INTERNAL_ERROR);
+    handler_.onStreamClosed(*this, id, NGHTTP2_INTERNAL_ERROR);
   }
-  ear_.onClosed(*this);
+  handler_.onClosed(*this);
 }
 
 // ---- in ----
@@ -238,20 +238,20 @@
   if (frame->hd.type == NGHTTP2_SETTINGS && (frame->hd.flags & NGHTTP2_FLAG_ACK) == 0 &&
       http.state_ == State::opening) {
     http.state_ = State::open;
-    http.ear_.onOpen(http);
+    http.handler_.onOpen(http);
   }
   if (frame->hd.type == NGHTTP2_GOAWAY && !http.server_) http.goneAway_ = true;
   if (frame->hd.type == NGHTTP2_HEADERS)
     if (Stream* stream = http.find(id)) {
       const Headers heard = std::move(stream->heard);
       stream->heard.clear();
-      http.ear_.onHeaders(http, id, heard);
+      http.handler_.onHeaders(http, id, heard);
     }
   if ((frame->hd.type == NGHTTP2_HEADERS || frame->hd.type == NGHTTP2_DATA) &&
       (frame->hd.flags & NGHTTP2_FLAG_END_STREAM) != 0)
     if (Stream* stream = http.find(id)) {
       stream->peerEnded = true;
-      http.ear_.onEnd(http, id);
+      http.handler_.onEnd(http, id);
     }
   return 0;
 }
@@ -271,19 +271,20 @@
 int Http2::onChunk(nghttp2_session*, std::uint8_t, StreamId id, const std::uint8_t* data, std::size_t size,
                    void* me) {
   auto& http = *static_cast<Http2*>(me);
-  if (http.find(id) != nullptr) http.ear_.onData(http, id, {reinterpret_cast<const char*>(data), size});
+  if (http.find(id) != nullptr) http.handler_.onData(http, id, {reinterpret_cast<const char*>(data), size});
   return 0;
 }
 
 int Http2::onStreamClose(nghttp2_session*, StreamId id, std::uint32_t code, void* me) {
   auto& http = *static_cast<Http2*>(me);
-  if (http.streams_.erase(id) != 0 && http.state_ != State::dead) http.ear_.onStreamClosed(http, id, code);
+  if (http.streams_.erase(id) != 0 && http.state_ != State::dead)
+    http.handler_.onStreamClosed(http, id, code);
   return 0;
 }
 
-void Http2::onRead(bufferevent* bev, void* me) {
+void Http2::onRead(bufferevent* bufferEvent, void* me) {
   auto& http = *static_cast<Http2*>(me);
-  evbuffer* input = bufferevent_get_input(bev);
+  evbuffer* input = bufferevent_get_input(bufferEvent);
   http.heardAt_ = net::monotonicNow();
   while (http.state_ != State::dead && evbuffer_get_length(input) > 0) {
     const std::size_t size = evbuffer_get_contiguous_space(input);
@@ -309,12 +310,12 @@
     http.die();
 }
 
-void Http2::onEvent(bufferevent* bev, short what, void* me) {
+void Http2::onEvent(bufferevent* bufferEvent, short what, void* me) {
   auto& http = *static_cast<Http2*>(me);
-  if ((what & BEV_EVENT_CONNECTED) != 0) return net::noDelay(bufferevent_getfd(bev));
+  if ((what & BEV_EVENT_CONNECTED) != 0) return net::noDelay(bufferevent_getfd(bufferEvent));
   if ((what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) != 0) {
     // What came before the end still counts.
-    if (evbuffer_get_length(bufferevent_get_input(bev)) > 0) onRead(bev, me);
+    if (evbuffer_get_length(bufferevent_get_input(bufferEvent)) > 0) onRead(bufferEvent, me);
     http.die();
   }
 }
--- a/src/grpc/http2.h
+++ b/src/grpc/http2.h
@@ -34,8 +34,8 @@
 
 class Http2 {
  public:
-  struct Ear {
-    virtual ~Ear() = default;
+  struct Handler {
+    virtual ~Handler() = default;
     virtual void onOpen(Http2& connection) = 0;  // the peer speaks HTTP/2
     virtual void onHeaders(Http2& connection, StreamId stream, const Headers& headers) = 0;
     virtual void onData(Http2& connection, StreamId stream, std::string_view bytes) = 0;
@@ -44,7 +44,7 @@
     virtual void onClosed(Http2& connection) = 0;
   };
 
-  Http2(net::Bev bev, Ear& ear, const Http2Limits& limits, bool server);
+  Http2(net::BufferEvent bufferEvent, Handler& handler, const Http2Limits& limits, bool server);
   ~Http2();
   Http2(const Http2&) = delete;
   Http2& operator=(const Http2&) = delete;
@@ -102,8 +102,8 @@
   void pump();
   void die();
 
-  net::Bev bev_;
-  Ear& ear_;
+  net::BufferEvent bufferEvent_;
+  Handler& handler_;
   Http2Limits limits_;
   bool server_;
   nghttp2_session* session_ = nullptr;
--- a/src/grpc/messages.cpp
+++ b/src/grpc/messages.cpp
@@ -12,9 +12,9 @@
 namespace {
 
 namespace wire = lupinsill::session::v1;
-using player::AnswerMessage;
-using player::AskMessage;
-using player::Said;
+using session_api::AnswerKind;
+using session_api::AnswerMessage;
+using session_api::PlayMessage;
 
 // Guards against strangers who write our log: the library prints a line for each bad message of theirs.
 [[maybe_unused]] const bool silenced = (google::protobuf::SetLogHandler(nullptr), true);
@@ -26,7 +26,7 @@
 
 std::optional<Micros> spanOf(std::uint64_t ms) {
   if (ms == 0) return std::nullopt;
-  return std::min<Micros>(player::spanMost,
+  return std::min<Micros>(session_api::maxDuration,
                           static_cast<Micros>(std::min<std::uint64_t>(ms, 1'000'000'000)) * 1000);
 }
 
@@ -51,19 +51,19 @@
 };
 
 Status statusOf(const AnswerMessage& answer) {
-  if (answer.said == Said::error) return Status::invalidArgument;
+  if (answer.kind == AnswerKind::error) return Status::invalidArgument;
   for (const Meant& meant : meanings)
     if (answer.reason == meant.reason) return meant.status;
-  return answer.said == Said::throttled ? Status::unavailable : Status::internal;
+  return answer.kind == AnswerKind::throttled ? Status::unavailable : Status::internal;
 }
 
-const char* wordOf(Said said) {
+const char* wordOf(AnswerKind said) {
   switch (said) {
-    case Said::throttled:
+    case AnswerKind::throttled:
       return "throttled";
-    case Said::terminated:
+    case AnswerKind::terminated:
       return "terminated";
-    case Said::ended:
+    case AnswerKind::ended:
       return "ended";
     default:
       return "error";
@@ -80,7 +80,7 @@
   if (!from.has_ask()) return out.fault = "ask or leave expected", out;
   const wire::Ask& ask = from.ask();
   const auto check = [&](const char* name, const std::string& word, bool needed) {
-    const char* fault = player::faultOf(word, needed);
+    const char* fault = session_api::fieldError(word, needed);
     if (fault != nullptr && out.fault.empty()) out.fault = std::string(name) + ": " + fault;
     return word;
   };
@@ -89,16 +89,16 @@
   out.ask.title = check("title", ask.title(), true);
   out.ask.room = check("room", ask.room(), true);
   out.ask.tenant = check("tenant", ask.tenant(), false);
-  out.ask.again = check("again", ask.again(), false);
+  out.ask.previousDirector = check("again", ask.again(), false);
   if (ask.has_top()) out.ask.top = static_cast<int>(std::min<std::uint32_t>(ask.top(), 1000));
   out.ask.timeout = spanOf(ask.timeout_ms());
   out.ask.length = spanOf(ask.length_ms());
-  if (ask.has_again_ms()) out.ask.againAge = spanOf(ask.again_ms()).value_or(0);
+  if (ask.has_again_ms()) out.ask.sinceFirstSent = spanOf(ask.again_ms()).value_or(0);
   if (out.fault.empty()) out.kind = PlayerWord::Kind::ask;
   return out;
 }
 
-std::string bytesOf(const AskMessage& message) {
+std::string bytesOf(const PlayMessage& message) {
   wire::FromPlayer from;
   wire::Ask& ask = *from.mutable_ask();
   ask.set_key(message.key);
@@ -106,11 +106,12 @@
   ask.set_title(message.title);
   ask.set_room(message.room);
   ask.set_tenant(message.tenant);
-  ask.set_again(message.again);
+  ask.set_again(message.previousDirector);
   ask.set_top(static_cast<std::uint32_t>(message.top));
   if (message.timeout) ask.set_timeout_ms(static_cast<std::uint64_t>(*message.timeout / 1000));
   // Rounded up: the key must not look younger than it is.
-  if (message.againAge) ask.set_again_ms(static_cast<std::uint64_t>((*message.againAge + 999) / 1000));
+  if (message.sinceFirstSent)
+    ask.set_again_ms(static_cast<std::uint64_t>((*message.sinceFirstSent + 999) / 1000));
   if (message.length) ask.set_length_ms(static_cast<std::uint64_t>(*message.length / 1000));
   return from.SerializeAsString();
 }
@@ -123,13 +124,13 @@
 
 std::string bytesOf(const AnswerMessage& answer) {
   wire::ToPlayer to;
-  if (answer.said == Said::playing) {
+  if (answer.kind == AnswerKind::playing) {
     wire::Playing& playing = *to.mutable_playing();
     playing.set_subscription(answer.subscription);
     playing.set_node(answer.node);
     playing.set_rung(static_cast<std::uint32_t>(answer.rung));
     playing.set_ticket(answer.ticket);
-  } else if (answer.said == Said::rung) {
+  } else if (answer.kind == AnswerKind::rung) {
     to.mutable_rung()->set_rung(static_cast<std::uint32_t>(answer.rung));
   } else {
     to.mutable_ended()->set_reason(answer.reason);
@@ -143,16 +144,16 @@
   if (!parse(to, bytes)) return std::nullopt;
   AnswerMessage answer;
   if (to.has_playing()) {
-    answer.said = Said::playing;
+    answer.kind = AnswerKind::playing;
     answer.subscription = to.playing().subscription();
     answer.node = to.playing().node();
     answer.rung = static_cast<int>(std::min<std::uint32_t>(1000, to.playing().rung()));
     answer.ticket = to.playing().ticket();
   } else if (to.has_rung()) {
-    answer.said = Said::rung;
+    answer.kind = AnswerKind::rung;
     answer.rung = static_cast<int>(std::min<std::uint32_t>(1000, to.rung().rung()));
   } else if (to.has_ended()) {
-    answer.said = Said::ended;
+    answer.kind = AnswerKind::ended;
     answer.reason = to.ended().reason();
     answer.retryAfter = spanOf(to.ended().retry_after_ms()).value_or(0);
   } else {
@@ -195,13 +196,13 @@
 
 Headers trailersOf(const AnswerMessage& answer) {
   Headers out = trailersOf(statusOf(answer), answer.reason);
-  out.emplace_back("lupinsill-answer", wordOf(answer.said));
+  out.emplace_back("lupinsill-answer", wordOf(answer.kind));
   out.emplace_back("lupinsill-reason", percentEncoded(answer.reason));
   const std::string ms = std::to_string((answer.retryAfter + 999) / 1000);
   if (answer.retryAfter > 0) out.emplace_back("lupinsill-retry-after-ms", ms);
   // Guards against gRPC's own retries of what may have run: a negative pushback forbids them, whatever policy
   // the caller has set. After a throttle nothing ran, and they may come when we say.
-  if (answer.said != Said::throttled)
+  if (answer.kind != AnswerKind::throttled)
     out.emplace_back("grpc-retry-pushback-ms", "-1");
   else if (answer.retryAfter > 0)
     out.emplace_back("grpc-retry-pushback-ms", ms);
@@ -221,13 +222,14 @@
   out.message = percentDecoded(valueOf(headers, "grpc-message"));
   const std::string_view word = valueOf(headers, "lupinsill-answer");
   out.ours = !word.empty();
-  out.answer.said = word == "throttled"    ? Said::throttled
-                    : word == "terminated" ? Said::terminated
-                    : word == "ended"      ? Said::ended
-                                           : Said::error;
+  out.answer.kind = word == "throttled"    ? AnswerKind::throttled
+                    : word == "terminated" ? AnswerKind::terminated
+                    : word == "ended"      ? AnswerKind::ended
+                                           : AnswerKind::error;
   out.answer.reason = out.ours ? percentDecoded(valueOf(headers, "lupinsill-reason")) : out.message;
   const std::string ms(valueOf(headers, "lupinsill-retry-after-ms"));
-  out.answer.retryAfter = std::clamp<Micros>(std::atoll(ms.c_str()), 0, player::spanMost / 1000) * 1000;
+  out.answer.retryAfter =
+      std::clamp<Micros>(std::atoll(ms.c_str()), 0, session_api::maxDuration / 1000) * 1000;
   return out;
 }
 
--- a/src/grpc/messages.h
+++ b/src/grpc/messages.h
@@ -8,7 +8,7 @@
 
 #include "grpc/http2.h"
 #include "grpc/wire.h"
-#include "player/words.h"
+#include "session_api/messages.h"
 
 namespace lupinsill::grpc {
 
@@ -20,16 +20,16 @@
 
 struct PlayerWord {
   enum class Kind { ask, leave, bad } kind = Kind::bad;
-  player::AskMessage ask;
+  session_api::PlayMessage ask;
   std::string fault;
 };
 PlayerWord readPlayerWord(std::string_view bytes);
-std::string bytesOf(const player::AskMessage& ask);
+std::string bytesOf(const session_api::PlayMessage& ask);
 std::string leaveBytes();
 
 // Playing, rung and ended; the other answers are statuses.
-std::string bytesOf(const player::AnswerMessage& answer);
-std::optional<player::AnswerMessage> readAnswer(std::string_view bytes);
+std::string bytesOf(const session_api::AnswerMessage& answer);
+std::optional<session_api::AnswerMessage> readAnswer(std::string_view bytes);
 
 std::string whoReply(const std::string& director);
 std::optional<std::string> readWhoReply(std::string_view bytes);
@@ -41,13 +41,13 @@
 
 // The trailers that carry an answer which ends a call. `throttled` may be tried again by gRPC itself
 // (grpc-retry-pushback-ms says when); the others say that it must not be.
-Headers trailersOf(const player::AnswerMessage& answer);
+Headers trailersOf(const session_api::AnswerMessage& answer);
 Headers trailersOf(Status status, std::string_view message);
 // What a client makes of them. `said` is error where they hold no answer of ours.
 struct Trailers {
   int status = 2;
   std::string message;
-  player::AnswerMessage answer;
+  session_api::AnswerMessage answer;
   bool ours = false;
 };
 Trailers readTrailers(const Headers& headers);
--- a/src/history/history.cpp
+++ b/src/history/history.cpp
@@ -109,7 +109,7 @@
   h.settingsFile = settingsFile;
   h.deployment = settings::readDeployment(settingsFile);
   h.seed = seed;
-  const Terms& terms = h.deployment.terms;
+  const ControlSettings& terms = h.deployment.terms;
   h.directors = 1 + static_cast<int>(chance.below(4));
   const bool blackout = seed % 8 == 0;
   if (blackout) h.directors = 12;
