--- a/src/history/play.cpp
+++ b/src/history/play.cpp
@@ -10,17 +10,17 @@
 #include <set>
 #include <utility>
 
+#include "admission/request_translator.h"
 #include "core/core.h"
 #include "fleet/membership.h"
-#include "intake/reception.h"
 #include "lab/plant.h"
 #include "model/world.h"
 
 namespace lupinsill::history {
 namespace {
 
-using session::JoinKey;
-using session::Line;
+using session::CallId;
+using session::JoinId;
 
 constexpr Micros ms = 1'000;
 constexpr Micros second = 1'000'000;
@@ -66,19 +66,19 @@
     director::Hooks hooks;
     std::unique_ptr<fleet::Membership> list;
     std::unique_ptr<session::Front> front;
-    std::unique_ptr<intake::Reception> reception;
+    std::unique_ptr<admission::RequestTranslator> reception;
     std::deque<std::function<void()>> inbox;  // what waits in its sockets while it stands
-    std::map<JoinKey, JoinAt> joins;
-    std::map<NodeId, Micros> connected;                   // to the process that started then
-    std::map<Line, std::pair<int, client::TryId>> lines;  // app and try
-    std::map<Line, std::size_t> asked;                    // place in the record
-    Line nextLine = 0;
+    std::map<JoinId, JoinAt> joins;
+    std::map<NodeId, Micros> connected;                         // to the process that started then
+    std::map<CallId, std::pair<int, client::AttemptId>> lines;  // app and try
+    std::map<CallId, std::size_t> asked;                        // place in the record
+    CallId nextLine = 0;
     Micros turnAt = 0;
     Micros listLate = 0, disk = 2 * ms;
     bool committing = false;
     std::vector<ledger::Write> unsaved;
     std::map<ledger::Digest, ledger::Record> stored;
-    fleet::Word kept;  // the list's copy beside it
+    fleet::NodeList kept;  // the list's copy beside it
     bool hasKept = false;
     std::string name() const { return "d" + std::to_string(place) + "-" + std::to_string(run); }
   };
@@ -88,18 +88,18 @@
   void arm(Director& d);
   void turn(Director& d);
   void commit(Director& d);
-  void carry(Director& d, const session::Order& order);
+  void carry(Director& d, const session::Command& order);
   void setUp(Director& d, const session::SetUp& order);
-  void write(Director& d, JoinKey key);
-  void ended(Director& d, JoinKey key, Outcome outcome, bool finished);
+  void write(Director& d, JoinId key);
+  void ended(Director& d, JoinId key, Outcome outcome, bool finished);
   void publish(std::set<NodeId> without = {});
-  void hand(Director& d, const fleet::Word& word, Micros late);
-  void tell(Director& d, const fleet::Word& word);
+  void hand(Director& d, const fleet::NodeList& word, Micros late);
+  void tell(Director& d, const fleet::NodeList& word);
 
   // ---- nodes ----
   struct Session {
     int director = 0, run = 0;
-    JoinKey join = 0;
+    JoinId join = 0;
     std::size_t seen = 0;
     int viewer = 0, room = 0, rung = 0, title = 0;
     bool ran = false, over = false;
@@ -127,27 +127,27 @@
   void killNode(Node& n);
   void answer(Session& s, std::function<void(Director&)> what);
   void notes(Node& n);
-  int places() const { return terms_.placesByKind.empty() ? 1 : terms_.placesByKind[0]; }
+  int places() const { return terms_.slotsByKind.empty() ? 1 : terms_.slotsByKind[0]; }
 
   // ---- players ----
   struct Wish {
     Happening asked;
     int app = 0;
     bool ended = false;
-    client::TryId playing = 0;
+    client::AttemptId playing = 0;
   };
   struct Attempt {
     int viewer = 0;
     int director = 0, run = 0;
-    Line line = 0;
+    CallId callId = 0;
     long asked = -1;  // place in the record
     bool open = true;
   };
   void acts(int app);
-  void attempt(int app, const client::Try& go);
-  void hello(int app, client::TryId id);
-  void heard(int app, client::TryId id, client::Answer answer, Micros retryAfter, bool drains);
-  void closeTry(int app, client::TryId id, bool lost);
+  void attempt(int app, const client::StartAttempt& go);
+  void hello(int app, client::AttemptId id);
+  void heard(int app, client::AttemptId id, client::Answer answer, Micros retryAfter, bool drains);
+  void closeTry(int app, client::AttemptId id, bool lost);
   void tickApp(int app);
 
   void happen(const Happening& one);
@@ -158,7 +158,7 @@
 
   const History& h_;
   std::string plant_;
-  const Terms& terms_;
+  const ControlSettings& terms_;
   Micros now_ = zero;
   std::uint64_t order_ = 0;
   std::priority_queue<Later> later_;
@@ -168,11 +168,11 @@
   std::map<NodeId, std::unique_ptr<Node>> nodes_;
   NodeId nextNode_ = 0;
   std::uint64_t version_ = 0;
-  fleet::Word word_, before_;
+  fleet::NodeList word_, before_;
   std::vector<std::unique_ptr<client::Core>> apps_;
-  std::vector<std::vector<client::Act>> acts_;
+  std::vector<std::vector<client::Action>> acts_;
   std::map<int, Wish> wishes_;
-  std::vector<std::map<client::TryId, Attempt>> tries_;
+  std::vector<std::map<client::AttemptId, Attempt>> tries_;
   Played out_;
 };
 
@@ -183,7 +183,7 @@
       chance_(history.seed, 78),
       world_(terms_, {history.linkKb, 0.15, 64}, history.seed) {
   directors_.resize(static_cast<std::size_t>(h_.directors));
-  std::vector<client::DirectorAt> at;
+  std::vector<client::DirectorEndpoint> at;
   for (int place = 0; place < h_.directors; ++place) {
     directors_[static_cast<std::size_t>(place)].place = place;
     directors_[static_cast<std::size_t>(place)].zone = "zone" + std::to_string(place % h_.zones);
@@ -192,10 +192,10 @@
   acts_.resize(appsCount);
   tries_.resize(appsCount);
   for (int app = 0; app < appsCount; ++app) {
-    client::Manners manners;
+    client::RetryPolicy manners;
     manners.building = "zone" + std::to_string(app % h_.zones);
     // Every other app waits for its director to the end: what never comes is seen then.
-    if (app % 2 == 0) manners.tryMost = 3600 * second;
+    if (app % 2 == 0) manners.attemptTimeout = 3600 * second;
     apps_.push_back(std::make_unique<client::Core>(at, manners, h_.seed * 10 + static_cast<unsigned>(app)));
   }
 }
@@ -210,28 +210,28 @@
   d.committing = false;
   d.unsaved.clear();
   if (!plant_.empty()) d.hooks = lab::hooksOf(plant_);
-  Terms terms = terms_;
+  ControlSettings terms = terms_;
   terms.zone = d.zone;
   terms.directors = h_.directors;
   terms.ordinal = d.place;
-  session::Bounds bounds = h_.deployment.bounds;
-  bounds.guarded = d.hooks.guarded;
+  session::Limits bounds = h_.deployment.bounds;
+  bounds.guardsEnabled = d.hooks.guardsEnabled;
   bounds.keysStored = d.hooks.recorded;
   const std::uint64_t seed = h_.seed * 1000 + static_cast<std::uint64_t>(d.place * 50 + d.run);
   std::unique_ptr<session::Decider> decider =
-      d.hooks.decider ? d.hooks.decider(terms, seed) : std::make_unique<session::ByControl>(terms, seed);
+      d.hooks.decider ? d.hooks.decider(terms, seed) : std::make_unique<session::ControlDecider>(terms, seed);
   d.list = std::make_unique<fleet::Membership>(terms.cells, h_.deployment.leastKept, bounds.grace);
   d.front = std::make_unique<session::Front>(terms, bounds, std::move(decider));
-  d.reception = std::make_unique<intake::Reception>(
-      intake::Reception::Names{"d" + std::to_string(d.place), h_.deployment.roomTypes, h_.deployment.tenants,
-                               h_.deployment.clientTimeouts},
+  d.reception = std::make_unique<admission::RequestTranslator>(
+      admission::RequestTranslator::Names{"d" + std::to_string(d.place), h_.deployment.roomTypes,
+                                          h_.deployment.tenants, h_.deployment.clientTimeouts},
       terms.roomTypes);
   if (d.hooks.recorded) {
     std::vector<ledger::Record> records;
     for (const auto& [key, record] : d.stored) records.push_back(record);
     d.front->recover(now_, records, true);
   }
-  d.front->told(d.hasKept ? d.list->startFrom(d.kept) : ListTold{ListKind::warmCopy, {}});
+  d.front->listUpdated(d.hasKept ? d.list->restore(d.kept) : ListUpdate{ListKind::cachedSnapshot, {}});
   hand(d, word_, 0);
   turn(d);
 }
@@ -241,7 +241,7 @@
   out_.record.downs.push_back({d.place, d.run, now_ - zero});
   out_.held += [&] {
     std::size_t held = 0;
-    for (const auto n : d.front->figures().held) held += n;
+    for (const auto n : d.front->statistics().held) held += n;
     return held;
   }();
   d.up = false;
@@ -253,7 +253,7 @@
     for (const auto& s : n->sessions)
       if (s->director == d.place && s->run == d.run) over(*n, *s);
   const auto lines = std::exchange(d.lines, {});
-  for (const auto& [line, at] : lines) {
+  for (const auto& [callId, at] : lines) {
     const auto [app, id] = at;
     after(wire, [this, app = app, id = id] {
       closeTry(app, id, true);
@@ -285,11 +285,12 @@
 
 void Theatre::turn(Director& d) {
   d.turnAt = 0;
-  if (ListTold told = d.list->confirm(now_); !told.entries.empty()) d.front->told(std::move(told));
-  std::vector<session::Order> orders;
-  d.front->turn(now_, orders);
+  if (ListUpdate told = d.list->confirmRemovals(now_); !told.entries.empty())
+    d.front->listUpdated(std::move(told));
+  std::vector<session::Command> orders;
+  d.front->processTurn(now_, orders);
   if (d.hooks.tamper) d.hooks.tamper(now_, orders);
-  for (const session::Order& order : orders) carry(d, order);
+  for (const session::Command& order : orders) carry(d, order);
   if (const auto writes = d.front->takeWrites(); d.hooks.recorded) {
     d.unsaved.insert(d.unsaved.end(), writes.begin(), writes.end());
     commit(d);
@@ -305,7 +306,7 @@
     if (!d.up || d.run != run) return;  // killed before the commit
     d.committing = false;
     for (const ledger::Write& one : writes) {
-      if (one.record.mark == ledger::Mark::refused)
+      if (one.record.mark == ledger::RecordState::refused)
         d.stored.erase(one.record.key);
       else
         d.stored[one.record.key] = one.record;
@@ -319,10 +320,10 @@
   });
 }
 
-void Theatre::carry(Director& d, const session::Order& order) {
-  const auto say = [&](Line line, audit::AskSeen::Answer::Kind kind, client::Answer answer, Micros retryAfter,
-                       bool drains) {
-    const auto it = d.lines.find(line);
+void Theatre::carry(Director& d, const session::Command& order) {
+  const auto say = [&](CallId callId, audit::AskSeen::Answer::Kind kind, client::Answer answer,
+                       Micros retryAfter, bool drains) {
+    const auto it = d.lines.find(callId);
     if (it == d.lines.end()) return;
     const auto [app, id] = it->second;
     if (kind != audit::AskSeen::Answer::Kind::playing) d.lines.erase(it);
@@ -337,14 +338,14 @@
   };
   using Kind = audit::AskSeen::Answer::Kind;
   if (const auto* p = std::get_if<session::Playing>(&order)) {
-    say(p->line, Kind::playing, client::Answer::playing, 0, false);
+    say(p->callId, Kind::playing, client::Answer::playing, 0, false);
   } else if (const auto* t = std::get_if<session::Throttled>(&order)) {
-    say(t->line, Kind::throttled, client::Answer::throttled, t->retryAfter,
-        t->why == session::WhyThrottled::draining);
+    say(t->callId, Kind::throttled, client::Answer::throttled, t->retryAfter,
+        t->reason == session::ThrottleReason::draining);
   } else if (const auto* e = std::get_if<session::Terminated>(&order)) {
-    say(e->line, Kind::terminated, client::Answer::terminated, 0, false);
+    say(e->callId, Kind::terminated, client::Answer::terminated, 0, false);
   } else if (const auto* end = std::get_if<session::Ended>(&order)) {
-    d.lines.erase(end->line);
+    d.lines.erase(end->callId);
   } else if (const auto* up = std::get_if<session::SetUp>(&order)) {
     setUp(d, *up);
   } else if (const auto* change = std::get_if<session::ChangeRung>(&order)) {
@@ -373,13 +374,13 @@
     d.joins.erase(it);
   } else if (const auto* back = std::get_if<session::Withdraw>(&order)) {
     const auto it = d.joins.find(back->join);
-    if (it != d.joins.end() && !it->second.written) ended(d, back->join, Outcome::moot, false);
+    if (it != d.joins.end() && !it->second.written) ended(d, back->join, Outcome::notSent, false);
   }
 }
 
-void Theatre::ended(Director& d, JoinKey key, Outcome outcome, bool finished) {
+void Theatre::ended(Director& d, JoinId key, Outcome outcome, bool finished) {
   if (d.joins.erase(key) == 0) return;
-  d.front->ended(key, outcome, {}, finished);
+  d.front->joinEnded(key, outcome, {}, finished);
 }
 
 void Theatre::setUp(Director& d, const session::SetUp& order) {
@@ -397,10 +398,10 @@
             if (!reached || !nodes_.at(to)->alive) return ended(d, key, Outcome::connectFailed, false);
             // All that wait for this connection leave in one heap, as they do on a socket.
             d.connected[to] = nodes_.at(to)->startedAt;
-            std::vector<JoinKey> waiting;
+            std::vector<JoinId> waiting;
             for (const auto& [one, join] : d.joins)
               if (join.order.node == to && join.connecting) waiting.push_back(one);
-            for (const JoinKey one : waiting) write(d, one);
+            for (const JoinId one : waiting) write(d, one);
           };
           if (d.stands) return d.inbox.push_back(done);
           done();
@@ -408,10 +409,10 @@
         });
 }
 
-void Theatre::write(Director& d, JoinKey key) {
+void Theatre::write(Director& d, JoinId key) {
   JoinAt& join = d.joins.at(key);
   join.connecting = false;
-  if (!d.front->leaves(now_, key)) return ended(d, key, Outcome::moot, false);
+  if (!d.front->mayWrite(now_, key)) return ended(d, key, Outcome::notSent, false);
   join.written = true;
   join.process = d.connected.at(join.order.node);
   after(wire, [this, &d, run = d.run, order = join.order, process = join.process] {
@@ -428,40 +429,40 @@
   word_.version = ++version_;
   for (const auto& [id, n] : nodes_) {
     if (!n->inList || without.contains(id)) continue;
-    fleet::Box box;
-    box.node = id;
-    box.state = n->listed;
-    box.cell = n->cell;
-    box.zone = "zone" + std::to_string(n->cell % h_.zones);
-    box.readyAt = n->cold ? n->startedAt : 0;
-    word_.boxes.push_back(box);
+    fleet::NodeEndpoint endpoint;
+    endpoint.node = id;
+    endpoint.state = n->listed;
+    endpoint.cell = n->cell;
+    endpoint.zone = "zone" + std::to_string(n->cell % h_.zones);
+    endpoint.readyAt = n->cold ? n->startedAt : 0;
+    word_.endpoints.push_back(endpoint);
   }
   for (Director& d : directors_) hand(d, word_, d.listLate);
 }
 
-void Theatre::hand(Director& d, const fleet::Word& word, Micros late) {
+void Theatre::hand(Director& d, const fleet::NodeList& word, Micros late) {
   after(late, [this, &d, run = d.run, word] {
     if (d.up && d.run == run) reach(d, [this, &d, word] { tell(d, word); });
   });
 }
 
 // What the list said, and when this director could first read it, goes into the record.
-void Theatre::tell(Director& d, const fleet::Word& word) {
+void Theatre::tell(Director& d, const fleet::NodeList& word) {
   if (word.version >= d.list->version() || d.list->version() == 0) {
     std::set<NodeId> named;
-    for (const fleet::Box& box : word.boxes) {
-      named.insert(box.node);
-      out_.record.words.push_back({box.node, now_ - zero, box.state, d.place});
+    for (const fleet::NodeEndpoint& endpoint : word.endpoints) {
+      named.insert(endpoint.node);
+      out_.record.words.push_back({endpoint.node, now_ - zero, endpoint.state, d.place});
     }
     for (const auto& [id, n] : nodes_)
       if (!named.contains(id)) out_.record.words.push_back({id, now_ - zero, NodeState::gone, d.place});
   }
-  ListTold told;
-  const fleet::Taken taken = d.list->apply(now_, word, told);
-  if (taken != fleet::Taken::applied && taken != fleet::Taken::tooMuchGone) return;
+  ListUpdate told;
+  const fleet::UpdateResult taken = d.list->apply(now_, word, told);
+  if (taken != fleet::UpdateResult::applied && taken != fleet::UpdateResult::tooMuchGone) return;
   d.kept = word;
   d.hasKept = true;
-  if (!told.entries.empty() || told.kind == ListKind::total) d.front->told(std::move(told));
+  if (!told.entries.empty() || told.kind == ListKind::snapshot) d.front->listUpdated(std::move(told));
 }
 
 // ---- nodes ----
@@ -493,7 +494,7 @@
   seen.director = d.name();
   seen.subscription = d.name() + "-" + std::to_string(order.sub);
   seen.viewer = order.viewer;
-  seen.askKey = order.askKey;
+  seen.idempotencyKey = order.idempotencyKey;
   seen.title = order.title;
   seen.roomType = order.roomType;
   seen.rung = order.rung;
@@ -524,7 +525,7 @@
 void Theatre::process(Node& n, const std::shared_ptr<Session>& s) {
   if (!n.alive) return;
   audit::SetUpSeen& seen = out_.record.setUps[s->seen];
-  const JoinKey key = s->join;
+  const JoinId key = s->join;
   if (s->over) {
     // It read the set-up after it stood still, before the teardown behind it: it ran, for a moment.
     seen.ranAt = now_ - zero;
@@ -552,13 +553,13 @@
   s->ran = true;
   out_.record.setUps[s->seen].ranAt = now_ - zero;
   s->stream = world_.play(n.id, s->viewer, s->room, s->rung, s->title, true);
-  const JoinKey key = s->join;
+  const JoinId key = s->join;
   if (!n.lose) {
     const double link = world_.load(n.id, 0).link;
     answer(*s, [this, key, link, silent = n.silent](Director& d) {
       if (!d.joins.contains(key)) return;
-      d.front->began(key);
-      if (!silent) d.front->noted(key, Reading::link, link);
+      d.front->joinStarted(key);
+      if (!silent) d.front->measured(key, MeasurementKind::link, link);
     });
   }
   const Micros length = wishes_.at(s->viewer).asked.length;
@@ -588,10 +589,10 @@
       reach(d, [this, &d, to = n.id, process = n.startedAt] {
         if (const auto it = d.connected.find(to); it != d.connected.end() && it->second == process)
           d.connected.erase(it);
-        std::vector<JoinKey> lost;
+        std::vector<JoinId> lost;
         for (const auto& [key, join] : d.joins)
           if (join.order.node == to && join.written && join.process == process) lost.push_back(key);
-        for (const JoinKey key : lost) ended(d, key, Outcome::reset, false);
+        for (const JoinId key : lost) ended(d, key, Outcome::reset, false);
       });
 }
 
@@ -601,15 +602,15 @@
   std::erase_if(n.sessions, [](const auto& s) { return s->over; });
   if (!n.alive || n.silent || n.hang || n.lose) return;
   const model::NodeLoad load = world_.load(n.id, terms_.seenAfter);
-  const bool round = terms_.reportsEvery > 0 && now_ - n.notedAt >= terms_.reportsEvery;
+  const bool round = terms_.reportInterval > 0 && now_ - n.notedAt >= terms_.reportInterval;
   if (round) n.notedAt = now_;
   std::set<int> told;
   for (const auto& s : n.sessions) {
     if (!s->ran || !told.insert(s->director).second) continue;
     answer(*s, [key = s->join, load, round, uplinks = terms_.uplinksReported](Director& d) {
-      if (load.delivered < 0.98) d.front->noted(key, Reading::delivered, load.delivered);
-      if (round) d.front->noted(key, Reading::link, load.link);
-      if (round && uplinks) d.front->noted(key, Reading::uplink, load.uplink);
+      if (load.delivered < 0.98) d.front->measured(key, MeasurementKind::delivered, load.delivered);
+      if (round) d.front->measured(key, MeasurementKind::link, load.link);
+      if (round && uplinks) d.front->measured(key, MeasurementKind::uplink, load.uplink);
     });
   }
 }
@@ -619,18 +620,18 @@
 void Theatre::acts(int app) {
   auto& list = acts_[static_cast<std::size_t>(app)];
   while (!list.empty()) {
-    const std::vector<client::Act> now = std::exchange(list, {});
-    for (const client::Act& act : now) {
-      if (const auto* go = std::get_if<client::Try>(&act)) attempt(app, *go);
-      if (const auto* no = std::get_if<client::Abandon>(&act)) closeTry(app, no->attempt, false);
-      if (const auto* give = std::get_if<client::Give>(&act)) {
+    const std::vector<client::Action> now = std::exchange(list, {});
+    for (const client::Action& act : now) {
+      if (const auto* go = std::get_if<client::StartAttempt>(&act)) attempt(app, *go);
+      if (const auto* no = std::get_if<client::AbandonAttempt>(&act)) closeTry(app, no->attempt, false);
+      if (const auto* give = std::get_if<client::ReportResult>(&act)) {
         ++*std::map<client::Result, std::size_t*>{
             {client::Result::playing, &out_.playing},         {client::Result::throttled, &out_.throttled},
             {client::Result::terminated, &out_.terminated},   {client::Result::unknown, &out_.unknown},
             {client::Result::unreachable, &out_.unreachable}, {client::Result::cancelled, &out_.unreachable}}
                .at(give->result);
-        if (give->result == client::Result::throttled) out_.comeBack.push_back(give->comeBackAfter);
-        wishes_.at(static_cast<int>(give->wish)).ended = give->result != client::Result::playing;
+        if (give->result == client::Result::throttled) out_.comeBack.push_back(give->retryAfter);
+        wishes_.at(static_cast<int>(give->request)).ended = give->result != client::Result::playing;
       }
     }
   }
@@ -645,9 +646,9 @@
   acts(app);
 }
 
-void Theatre::attempt(int app, const client::Try& go) {
+void Theatre::attempt(int app, const client::StartAttempt& go) {
   Attempt& one = tries_[static_cast<std::size_t>(app)][go.attempt];
-  one.viewer = static_cast<int>(go.wish);
+  one.viewer = static_cast<int>(go.request);
   one.director = static_cast<int>(go.director);
   after(handshake, [this, app, id = go.attempt] {
     Attempt& at = tries_[static_cast<std::size_t>(app)].at(id);
@@ -660,26 +661,26 @@
     }
     at.run = d.run;
     // The kernel takes the connection of a director that stands still; its hello comes when it goes on.
-    at.line = ++d.nextLine;
-    d.lines[at.line] = {app, id};
+    at.callId = ++d.nextLine;
+    d.lines[at.callId] = {app, id};
     reach(d, [this, app, id] { hello(app, id); });
   });
 }
 
-void Theatre::hello(int app, client::TryId id) {
+void Theatre::hello(int app, client::AttemptId id) {
   Attempt& at = tries_[static_cast<std::size_t>(app)].at(id);
   Director& d = directors_[static_cast<std::size_t>(at.director)];
   after(wire, [this, app, id, &d] {
     Attempt& one = tries_[static_cast<std::size_t>(app)].at(id);
     if (!one.open || !d.up || d.run != one.run) return;
-    const client::Sending sending =
-        apps_[static_cast<std::size_t>(app)]->sending(now_, id, "d" + std::to_string(one.director));
+    const client::SendParameters sending =
+        apps_[static_cast<std::size_t>(app)]->beginSend(now_, id, "d" + std::to_string(one.director));
     if (sending.key.empty()) return;
     const Happening& wish = wishes_.at(one.viewer).asked;
-    player::AskMessage ask;
+    session_api::PlayMessage ask;
     ask.key = sending.key;
-    ask.again = sending.again;
-    ask.againAge = sending.againAge;
+    ask.previousDirector = sending.previousDirector;
+    ask.sinceFirstSent = sending.sinceFirstSent;
     ask.timeout = sending.timeLeft;
     ask.viewer = "v" + std::to_string(one.viewer);
     ask.title = "t" + std::to_string(wish.title);
@@ -692,21 +693,21 @@
     seen.director = one.director;
     seen.run = one.run;
     seen.viewer = ask.viewer;
-    seen.askKey = ask.key;
+    seen.idempotencyKey = ask.key;
     seen.title = ask.title;
     seen.roomType = wish.room;
     seen.timeout =
         std::min(sending.timeLeft, h_.deployment.clientTimeouts[static_cast<std::size_t>(wish.room)]);
     out_.record.asks.push_back(seen);
-    reach(d, [&d, ask, line = one.line] {
+    reach(d, [&d, ask, callId = one.callId] {
       std::string why;
-      auto read = d.reception->read(line, ask, std::nullopt, *d.list, why);
-      if (read) d.front->ask(std::move(*read));
+      auto read = d.reception->translate(callId, ask, std::nullopt, *d.list, why);
+      if (read) d.front->submit(std::move(*read));
     });
   });
 }
 
-void Theatre::heard(int app, client::TryId id, client::Answer answer, Micros retryAfter, bool drains) {
+void Theatre::heard(int app, client::AttemptId id, client::Answer answer, Micros retryAfter, bool drains) {
   Attempt& at = tries_[static_cast<std::size_t>(app)].at(id);
   if (answer == client::Answer::playing)
     wishes_.at(at.viewer).playing = id;
@@ -717,7 +718,7 @@
   acts(app);
 }
 
-void Theatre::closeTry(int app, client::TryId id, bool lost) {
+void Theatre::closeTry(int app, client::AttemptId id, bool lost) {
   const auto it = tries_[static_cast<std::size_t>(app)].find(id);
   if (it == tries_[static_cast<std::size_t>(app)].end() || !it->second.open) return;
   Attempt& at = it->second;
@@ -727,9 +728,9 @@
     if (seen.answers.empty()) seen.closedAt = now_ - zero, seen.lostSocket = lost;
   }
   Director& d = directors_[static_cast<std::size_t>(at.director)];
-  if (!d.up || d.run != at.run || at.line == 0) return;
-  d.lines.erase(at.line);
-  reach(d, [&d, line = at.line] { d.front->closed(line); });
+  if (!d.up || d.run != at.run || at.callId == 0) return;
+  d.lines.erase(at.callId);
+  reach(d, [&d, callId = at.callId] { d.front->closed(callId); });
 }
 
 // ---- what happens ----
@@ -746,9 +747,9 @@
       wish.app = one.who % appsCount;
       ++out_.wishes;
       const auto room = static_cast<std::size_t>(one.room);
-      apps_[static_cast<std::size_t>(wish.app)]->want(
+      apps_[static_cast<std::size_t>(wish.app)]->submit(
           now_,
-          {static_cast<client::WishId>(one.who), "k" + std::to_string(one.who),
+          {static_cast<client::RequestId>(one.who), "k" + std::to_string(one.who),
            terms_.roomTypes[room].effect != Effect::repeatable, h_.deployment.clientTimeouts[room]},
           acts_[static_cast<std::size_t>(wish.app)]);
       return acts(wish.app);
@@ -760,9 +761,9 @@
       const int app = it->second.app;
       for (auto& [id, at] : tries_[static_cast<std::size_t>(app)]) {
         if (at.viewer != one.who || !at.open) continue;
-        const client::TryId attempt = id;
+        const client::AttemptId attempt = id;
         if (one.what == What::leave && it->second.playing == 0)
-          apps_[static_cast<std::size_t>(app)]->cancel(now_, static_cast<client::WishId>(one.who),
+          apps_[static_cast<std::size_t>(app)]->cancel(now_, static_cast<client::RequestId>(one.who),
                                                        acts_[static_cast<std::size_t>(app)]);
         closeTry(app, attempt, false);
         if (one.what == What::cut)
@@ -883,8 +884,8 @@
       for (auto& [id, n] : nodes_) notes(*n);
     for (Director& d : directors_)
       if (d.up && !d.stands)
-        if (ListTold told = d.list->confirm(now_); !told.entries.empty())
-          d.front->told(std::move(told)), arm(d);
+        if (ListUpdate told = d.list->confirmRemovals(now_); !told.entries.empty())
+          d.front->listUpdated(std::move(told)), arm(d);
     if (now_ < end) after(housekeeping, house);
   };
   house();
@@ -896,12 +897,12 @@
   }
   for (Director& d : directors_)
     if (d.up)
-      for (const auto n : d.front->figures().held) out_.held += n;
-  audit::Figures figures;
-  figures.terms = terms_;
-  figures.clientTimeouts = h_.deployment.clientTimeouts;
-  figures.grace = h_.deployment.bounds.grace;
-  out_.rows = audit::check(out_.record, figures);
+      for (const auto n : d.front->statistics().held) out_.held += n;
+  audit::Statistics statistics;
+  statistics.terms = terms_;
+  statistics.clientTimeouts = h_.deployment.clientTimeouts;
+  statistics.grace = h_.deployment.bounds.grace;
+  out_.rows = audit::check(out_.record, statistics);
   return std::move(out_);
 }
 
@@ -917,20 +918,20 @@
 
 std::string shown(const Played& p) {
   std::string out;
-  char line[300];
+  char callId[300];
   for (const audit::Row& row : p.rows) {
-    std::snprintf(line, sizeof line, "%-22s %8zu tested %6zu broken   %s\n", row.rule.c_str(), row.tested,
+    std::snprintf(callId, sizeof callId, "%-22s %8zu tested %6zu broken   %s\n", row.rule.c_str(), row.tested,
                   row.broken, row.tested == 0 ? "not put to the test" : row.nearest.c_str());
-    out += line;
+    out += callId;
     for (const std::string& words : row.first) out += "    " + words + "\n";
   }
-  std::snprintf(line, sizeof line,
+  std::snprintf(callId, sizeof callId,
                 "%zu wishes: %zu play, %zu throttled, %zu terminated, %zu unknown, %zu not reached; %zu "
                 "asks, %zu joins, "
                 "%zu held back by guards, %zu nodes fallen\n",
                 p.wishes, p.playing, p.throttled, p.terminated, p.unknown, p.unreachable,
                 p.record.asks.size(), p.record.setUps.size(), p.held, p.record.nodesFallen.size());
-  return out + line;
+  return out + callId;
 }
 
 }  // namespace lupinsill::history
--- a/src/jsonl/message.h
+++ b/src/jsonl/message.h
@@ -19,7 +19,7 @@
 // Causes that have a meaning of their own.
 namespace cause {
 constexpr int passed = 1, over = 16, cancelled = 31, full = 34, broken = 41, error = 47, invalid = 100,
-              moot = 102;
+              notSent = 102;
 }
 
 struct Message {
--- a/src/lab/clients.cpp
+++ b/src/lab/clients.cpp
@@ -38,8 +38,8 @@
   Counted(std::unique_ptr<client::Transport> inner, std::uint64_t& asks)
       : inner_(std::move(inner)), asks_(asks) {}
   std::unique_ptr<client::Link> open(const std::string& address, Micros timeLeft,
-                                     client::LinkEar& ear) override {
-    auto link = inner_->open(address, timeLeft, ear);
+                                     client::LinkHandler& handler) override {
+    auto link = inner_->open(address, timeLeft, handler);
     if (!link) return nullptr;
     return std::make_unique<One>(std::move(link), asks_);
   }
@@ -48,7 +48,7 @@
  private:
   struct One final : client::Link {
     One(std::unique_ptr<client::Link> link, std::uint64_t& asks) : inner(std::move(link)), count(asks) {}
-    void ask(const player::AskMessage& message) override { ++count, inner->ask(message); }
+    void ask(const session_api::PlayMessage& message) override { ++count, inner->ask(message); }
     void leave() override { inner->leave(); }
     bool flushed() const override { return inner->flushed(); }
     std::unique_ptr<client::Link> inner;
@@ -106,8 +106,8 @@
     const Micros born = net::monotonicNow();
     until([&] { return net::monotonicNow() - born > settled; }, 2 * settled);
   }
-  std::vector<client::DirectorAt> directors(bool grpc) const {
-    std::vector<client::DirectorAt> out;
+  std::vector<client::DirectorEndpoint> directors(bool grpc) const {
+    std::vector<client::DirectorEndpoint> out;
     for (const auto& [players, second] : ports_)
       out.push_back({"127.0.0.1:" + std::to_string(grpc ? second : players), "here"});
     return out;
@@ -123,7 +123,7 @@
     processes_->kill(place);
   }
 
-  net::Base base_;
+  net::EventBase base_;
   CountingNodes nodes_;
   Day day_;
   std::unique_ptr<Processes> processes_;
@@ -131,21 +131,21 @@
   std::set<int> wipes_;
 };
 
-client::Manners manners() {
-  client::Manners out;
+client::RetryPolicy manners() {
+  client::RetryPolicy out;
   out.building = "here";
   return out;
 }
 // Sequences are about repeats; what the budget does is seen in the storms.
-client::Manners patient() {
-  client::Manners out = manners();
-  out.budgetFew = 20;
+client::RetryPolicy patient() {
+  client::RetryPolicy out = manners();
+  out.minRetries = 20;
   return out;
 }
 
 // One sequence through the C++ library: its wishes one after the other, a client of its own.
 struct Playing {
-  Playing(Fleet& fleet, const script::Sequence& what, const std::string& library, std::uint64_t& asks)
+  Playing(Fleet& fleet, const client_script::Sequence& what, const std::string& library, std::uint64_t& asks)
       : sequence(what),
         name(library),
         client(fleet.base(),
@@ -158,37 +158,38 @@
   }
   void next() {
     if (played.results.size() == sequence.wishes.size()) return;
-    const script::WishLine& wish = sequence.wishes[played.results.size()];
+    const client_script::WishLine& wish = sequence.wishes[played.results.size()];
     client::Want want;
     want.viewer = name + "-" + std::to_string(sequence.number);
     want.title = wish.title + "." + name;
     want.room = wish.room;
     want.unsafe = wish.paid;
     want.timeout = wish.timeout;
-    client.ask(want, [this](client::WishId id, const client::Heard& heard) {
+    client.ask(want, [this](client::RequestId id, const client::Heard& heard) {
       if (heard.result == client::Result::playing) client.leave(id);
       played.results.emplace_back(nameOf(heard.result));
       next();
     });
   }
   bool done() const { return played.results.size() == sequence.wishes.size(); }
-  const script::Sequence& sequence;
+  const client_script::Sequence& sequence;
   std::string name;
-  script::Played played;
+  client_script::Played played;
   client::SessionClient client;
 };
 
-bool kills(const script::Sequence& sequence) {
-  return std::any_of(sequence.wishes.begin(), sequence.wishes.end(), [](const script::WishLine& wish) {
-    const script::Plan* plan = script::planOf(wish.title);
+bool kills(const client_script::Sequence& sequence) {
+  return std::any_of(sequence.wishes.begin(), sequence.wishes.end(), [](const client_script::WishLine& wish) {
+    const client_script::Plan* plan = client_script::planOf(wish.title);
     return plan != nullptr && plan->kills;
   });
 }
 
-void playHere(Fleet& fleet, const std::vector<script::Sequence>& all, script::Library& library) {
+void playHere(Fleet& fleet, const std::vector<client_script::Sequence>& all,
+              client_script::Library& library) {
   for (const bool deadly : {false, true}) {
-    std::deque<const script::Sequence*> waiting;
-    for (const script::Sequence& sequence : all)
+    std::deque<const client_script::Sequence*> waiting;
+    for (const client_script::Sequence& sequence : all)
       if (kills(sequence) == deadly) waiting.push_back(&sequence);
     std::vector<std::unique_ptr<Playing>> out;
     bool wiped = false;
@@ -215,17 +216,17 @@
 }
 
 // The library of the website, as a process of its own.
-void playThere(Fleet& fleet, const std::vector<script::Sequence>& all, const std::string& player,
-               const std::string& folder, script::Library& library) {
+void playThere(Fleet& fleet, const std::vector<client_script::Sequence>& all, const std::string& player,
+               const std::string& folder, client_script::Library& library) {
   std::string addresses;
-  for (const client::DirectorAt& at : fleet.directors(false))
+  for (const client::DirectorEndpoint& at : fleet.directors(false))
     addresses += (addresses.empty() ? "" : ",") + at.address;
   for (const bool deadly : {false, true}) {
     const std::string scriptFile = folder + "/script", playedFile = folder + "/played";
     {
       std::ofstream out(scriptFile);
-      for (const script::Sequence& sequence : all)
-        if (kills(sequence) == deadly) out << script::lineOf(sequence) << "\n";
+      for (const client_script::Sequence& sequence : all)
+        if (kills(sequence) == deadly) out << client_script::lineOf(sequence) << "\n";
     }
     const std::string many = std::to_string(deadly ? 1 : atOnce),
                       wait = std::to_string(deadly ? pause / 1000 : 0);
@@ -249,22 +250,22 @@
       throw std::runtime_error("node " + player + " did not play the script to its end");
     std::ifstream in(playedFile);
     for (std::string line; std::getline(in, line);) {
-      script::Played played = script::readPlayed(line);
+      client_script::Played played = client_script::readPlayed(line);
       library.played[played.sequence] = std::move(played);
     }
   }
 }
 
 Storm storm(Fleet& fleet, const std::string& who, const std::string& plan, double share,
-            const client::Manners& how, bool budgeted, int wishes) {
+            const client::RetryPolicy& how, bool budgeted, int wishes) {
   Storm out;
   out.who = who;
   out.plan = plan;
   out.share = share;
   out.wishes = wishes;
-  const client::Manners usual = manners();
+  const client::RetryPolicy usual = manners();
   if (budgeted)
-    out.askMost = static_cast<std::uint64_t>(wishes + usual.budgetFew + usual.budgetShare * wishes);
+    out.askMost = static_cast<std::uint64_t>(wishes + usual.minRetries + usual.budgetShare * wishes);
   client::SessionClient crowd(fleet.base(),
                               std::make_unique<Counted>(client::makeWebSocket(fleet.base()), out.asks),
                               fleet.directors(false), how, 7);
@@ -278,7 +279,7 @@
           want.title = plan + "." + std::to_string(asked++) + "." + who;
           want.room = "recipe-clip";
           want.timeout = 5'000'000;
-          crowd.ask(want, [&](client::WishId id, const client::Heard& heard) {
+          crowd.ask(want, [&](client::RequestId id, const client::Heard& heard) {
             ++over;
             if (heard.result != client::Result::playing) return;
             ++out.playing;
@@ -296,12 +297,12 @@
 ClientsResult runClients(const ClientsOptions& options) {
   ClientsResult result;
   if (options.scriptFile.empty()) {
-    result.sequences = script::draw(options.sequences, options.seed);
+    result.sequences = client_script::draw(options.sequences, options.seed);
   } else {
     std::ifstream in(options.scriptFile);
     if (!in) throw std::runtime_error(options.scriptFile + ": cannot be read");
     for (std::string line; std::getline(in, line);)
-      if (!line.empty()) result.sequences.push_back(script::readLine(line));
+      if (!line.empty()) result.sequences.push_back(client_script::readLine(line));
   }
   std::string folder = options.keepIn;
   if (folder.empty()) {
@@ -316,7 +317,7 @@
   {
     Fleet fleet(options, folder);
     for (const char* name : {"websocket", "grpc", "typescript"}) {
-      script::Library library;
+      client_script::Library library;
       library.name = name;
       fleet.settle();
       if (library.name == "typescript") {
@@ -328,15 +329,15 @@
       library.setUps = fleet.nodes().setUps();
       result.libraries.push_back(std::move(library));
     }
-    result.findings = script::compare(result.sequences, result.libraries);
-    client::Manners naive = manners();
-    naive.budgetFew = 1'000'000;
-    naive.triesMost = 3;
-    naive.waitLeast = 1;
-    naive.waitMost = 1;
-    naive.shunLeast = naive.shunMost = 1;
-    client::Manners ours = manners();
-    if (options.plant == "budget-ignored") ours.budgetFew = 1'000'000, ours.triesMost = 1'000;
+    result.findings = client_script::compare(result.sequences, result.libraries);
+    client::RetryPolicy naive = manners();
+    naive.minRetries = 1'000'000;
+    naive.maxAttempts = 3;
+    naive.minBackoff = 1;
+    naive.maxBackoff = 1;
+    naive.minEjection = naive.maxEjection = 1;
+    client::RetryPolicy ours = manners();
+    if (options.plant == "budget-ignored") ours.minRetries = 1'000'000, ours.maxAttempts = 1'000;
     for (const auto& [plan, share] : {std::pair{"half", 0.5}, {"all", 1.0}, {"refuse", 1.0}}) {
       if (options.crowd == 0) break;
       result.storms.push_back(storm(fleet, "ours", plan, share, ours, true, options.crowd));
@@ -360,14 +361,14 @@
     std::map<std::string, int> results;
   };
   out << "plan                  library      wishes  set-ups  results\n";
-  for (const script::Plan& plan : script::plans())
-    for (const script::Library& library : result.libraries)
+  for (const client_script::Plan& plan : client_script::plans())
+    for (const client_script::Library& library : result.libraries)
       for (const bool paid : {false, true}) {
         Row row;
-        for (const script::Sequence& sequence : result.sequences)
+        for (const client_script::Sequence& sequence : result.sequences)
           for (std::size_t i = 0; i < sequence.wishes.size(); ++i) {
-            const script::WishLine& wish = sequence.wishes[i];
-            if (script::planOf(wish.title) != &plan || wish.paid != paid) continue;
+            const client_script::WishLine& wish = sequence.wishes[i];
+            if (client_script::planOf(wish.title) != &plan || wish.paid != paid) continue;
             ++row.wishes;
             const auto counted = library.setUps.find(wish.title + "." + library.name);
             if (counted != library.setUps.end()) row.setUps += counted->second;
@@ -392,7 +393,8 @@
         static_cast<unsigned long long>(one.asks), static_cast<double>(one.asks) / one.wishes, one.playing);
     out << line;
   }
-  for (const script::Finding& finding : result.findings) out << finding.title << ": " << finding.what << "\n";
+  for (const client_script::Finding& finding : result.findings)
+    out << finding.title << ": " << finding.what << "\n";
   return out.str();
 }
 
--- a/src/lab/clients.h
+++ b/src/lab/clients.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "script/script.h"
+#include "client_script/script.h"
 
 namespace lupinsill::lab {
 
@@ -32,9 +32,9 @@
 };
 
 struct ClientsResult {
-  std::vector<script::Sequence> sequences;
-  std::vector<script::Library> libraries;
-  std::vector<script::Finding> findings;
+  std::vector<client_script::Sequence> sequences;
+  std::vector<client_script::Library> libraries;
+  std::vector<client_script::Finding> findings;
   std::vector<Storm> storms;
 };
 
--- a/src/lab/counting.cpp
+++ b/src/lab/counting.cpp
@@ -9,7 +9,7 @@
 
 struct CountingNodes::Connection {
   CountingNodes* owner = nullptr;
-  net::Bev bev;
+  net::BufferEvent bufferEvent;
   media::Reader reader;
   std::set<std::string> silent;  // set-ups that go on without answers, by what pipelines them
   bool dead = false;
@@ -36,22 +36,22 @@
   std::erase_if(nodes.connections_, [](const auto& c) { return c->dead; });
   auto connection = std::make_unique<Connection>();
   connection->owner = &nodes;
-  connection->bev = net::acceptPlain(nodes.base_, fd);
-  if (!connection->bev) return;
-  bufferevent_setcb(connection->bev.get(), onRead, nullptr, onEvent, connection.get());
-  bufferevent_enable(connection->bev.get(), EV_READ | EV_WRITE);
+  connection->bufferEvent = net::acceptPlain(nodes.base_, fd);
+  if (!connection->bufferEvent) return;
+  bufferevent_setcb(connection->bufferEvent.get(), onRead, nullptr, onEvent, connection.get());
+  bufferevent_enable(connection->bufferEvent.get(), EV_READ | EV_WRITE);
   nodes.connections_.push_back(std::move(connection));
 }
 
-void CountingNodes::onEvent(bufferevent* bev, short what, void* me) {
+void CountingNodes::onEvent(bufferevent* bufferEvent, short what, void* me) {
   if ((what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) == 0) return;
   static_cast<Connection*>(me)->dead = true;
-  bufferevent_disable(bev, EV_READ | EV_WRITE);
+  bufferevent_disable(bufferEvent, EV_READ | EV_WRITE);
 }
 
-void CountingNodes::onRead(bufferevent* bev, void* me) {
+void CountingNodes::onRead(bufferevent* bufferEvent, void* me) {
   auto& connection = *static_cast<Connection*>(me);
-  evbuffer* input = bufferevent_get_input(bev);
+  evbuffer* input = bufferevent_get_input(bufferEvent);
   std::string bytes(evbuffer_get_length(input), '\0');
   evbuffer_remove(input, bytes.data(), bytes.size());
   connection.reader.feed(bytes);
@@ -77,7 +77,7 @@
     if (plan == "drop") connection.silent.insert(pipelined);
     if (plan == "cut") {
       connection.dead = true;
-      connection.bev.reset();
+      connection.bufferEvent.reset();
       return;
     }
     if (plan.ends_with("-at-node") && setUps_[named.title] == 1) {
@@ -91,7 +91,7 @@
   }
   if (!pipelined.empty() && connection.silent.contains(pipelined)) return;
   const std::string bytes = reply.bytes();
-  evbuffer_add(bufferevent_get_output(connection.bev.get()), bytes.data(), bytes.size());
+  evbuffer_add(bufferevent_get_output(connection.bufferEvent.get()), bytes.data(), bytes.size());
 }
 
 }  // namespace lupinsill::lab
--- a/src/lab/counting.h
+++ b/src/lab/counting.h
@@ -1,5 +1,5 @@
-// Media nodes that count: each answers a SETUP as its title's plan says (src/script) and keeps how many came
-// for each title. One loop holds them all; the lab's richer stand-ins are in stand_in.h.
+// Media nodes that count: each answers a SETUP as its title's plan says (src/client_script) and keeps how
+// many came for each title. One loop holds them all; the lab's richer stand-ins are in stand_in.h.
 #pragma once
 
 #include <functional>
--- a/src/lab/plant.cpp
+++ b/src/lab/plant.cpp
@@ -14,29 +14,30 @@
 namespace lupinsill::lab {
 namespace {
 
-using session::Order;
+using session::Command;
 
 // The module between bent events and bent actions.
 class Bent final : public session::Decider {
  public:
-  Bent(std::string name, const Terms& terms, std::uint64_t seed) : name_(std::move(name)), terms_(terms) {
-    Terms bent = terms;
+  Bent(std::string name, const ControlSettings& terms, std::uint64_t seed)
+      : name_(std::move(name)), terms_(terms) {
+    ControlSettings bent = terms;
     if (name_ == "seat-over")
       for (RoomType& room : bent.roomTypes) room.seats = 0;
-    if (name_ == "budget-over") bent.furtherJoins.reset();
-    inner_ = std::make_unique<session::ByControl>(std::move(bent), seed);
+    if (name_ == "budget-over") bent.retryBudget.reset();
+    inner_ = std::make_unique<session::ControlDecider>(std::move(bent), seed);
   }
 
   void handle(Micros now, const std::vector<Event>& turn, std::vector<Action>& actions) override {
     std::vector<Event> events = turn;
     for (Event& event : events) {
-      if (auto* told = std::get_if<ListTold>(&event)) list(*told);
-      if (const auto* asked = std::get_if<Requested>(&event))
+      if (auto* told = std::get_if<ListUpdate>(&event)) list(*told);
+      if (const auto* asked = std::get_if<SubscriptionRequested>(&event))
         rooms_[asked->viewing.sub] = asked->viewing.roomType;
       // The module hears of a join where it sent it, wherever the plant did.
       if (auto* ended = std::get_if<JoinEnded>(&event))
         if (const auto it = sentTo_.find(ended->sub); it != sentTo_.end()) ended->node = it->second;
-      if (auto* noted = std::get_if<Noted>(&event))
+      if (auto* noted = std::get_if<MeasurementReported>(&event))
         if (const auto it = sentTo_.find(noted->sub); it != sentTo_.end()) noted->node = it->second;
       // A paid join that may have run is told as refused.
       if (auto* ended = std::get_if<JoinEnded>(&event); ended != nullptr && name_ == "join-again")
@@ -50,7 +51,7 @@
   }
 
  private:
-  void list(ListTold& told) {
+  void list(ListUpdate& told) {
     for (ListEntry& entry : told.entries) {
       if (name_ == "drain-ignored" && entry.state == NodeState::draining) {
         drained_[entry.node] = true;
@@ -72,9 +73,9 @@
         for (const auto& [id, entry] : nodes_)
           if (drained_.contains(id)) join->node = id;
       const RoomType& room = terms_.roomTypes[static_cast<std::size_t>(rooms_[join->sub])];
-      if (name_ == "budget-over" && room.effect == Effect::repeatable) join->patience = 3'000;
-      if (name_ == "join-again" && room.effect == Effect::once) join->patience = 5'000;
-      if (name_ == "throttle-after-run" && room.effect == Effect::once) join->patience = 5'000;
+      if (name_ == "budget-over" && room.effect == Effect::repeatable) join->timeout = 3'000;
+      if (name_ == "join-again" && room.effect == Effect::once) join->timeout = 5'000;
+      if (name_ == "throttle-after-run" && room.effect == Effect::once) join->timeout = 5'000;
     }
     if (auto* rung = std::get_if<SetRung>(&action); rung != nullptr && name_ == "floor-under") rung->rung = 0;
     if (const auto* end = std::get_if<Terminate>(&action); end != nullptr && name_ == "throttle-after-run")
@@ -82,16 +83,16 @@
   }
 
   std::string name_;
-  Terms terms_;
-  std::unique_ptr<session::ByControl> inner_;
+  ControlSettings terms_;
+  std::unique_ptr<session::ControlDecider> inner_;
   std::map<NodeId, ListEntry> nodes_;
   std::map<NodeId, bool> drained_;
-  std::map<SubId, int> rooms_;
-  std::map<SubId, NodeId> sentTo_;
+  std::map<SubscriptionId, int> rooms_;
+  std::map<SubscriptionId, NodeId> sentTo_;
 };
 
-// Faults that a title names (src/script): a director that dies at a step, or cuts a call there. It does each
-// once; one that died knows by a mark in its folder that it did.
+// Faults that a title names (src/client_script): a director that dies at a step, or cuts a call there. It
+// does each once; one that died knows by a mark in its folder that it did.
 struct ByTitle {
   std::map<std::string, int> cuts;
   std::minstd_rand chance{11};
@@ -122,7 +123,7 @@
   }
 };
 
-bool isAnswer(const Order& order) {
+bool isAnswer(const Command& order) {
   return std::holds_alternative<session::Playing>(order) ||
          std::holds_alternative<session::Throttled>(order) ||
          std::holds_alternative<session::Terminated>(order);
@@ -133,17 +134,17 @@
   explicit Tamperer(std::string which) : name(std::move(which)) {}
   std::string name;
   int count = 0;
-  session::JoinKey next = 1'000'000'000;
+  session::JoinId next = 1'000'000'000;
   std::vector<NodeId> seen;
-  std::deque<std::pair<Micros, Order>> held;
+  std::deque<std::pair<Micros, Command>> held;
 
-  void operator()(Micros now, std::vector<Order>& orders) {
-    std::vector<Order> out;
+  void operator()(Micros now, std::vector<Command>& orders) {
+    std::vector<Command> out;
     while (!held.empty() && held.front().first <= now) {
       out.push_back(std::move(held.front().second));
       held.pop_front();
     }
-    for (Order& order : orders) {
+    for (Command& order : orders) {
       if (const auto* setUp = std::get_if<session::SetUp>(&order)) {
         if (std::find(seen.begin(), seen.end(), setUp->node) == seen.end()) seen.push_back(setUp->node);
         if (name == "second-join" && ++count % 10 == 0 && seen.size() > 1) {
@@ -211,8 +212,8 @@
     hooks.recorded = false;
     return hooks;
   }
-  hooks.guarded = false;
-  hooks.decider = [name](const Terms& terms, std::uint64_t seed) {
+  hooks.guardsEnabled = false;
+  hooks.decider = [name](const ControlSettings& terms, std::uint64_t seed) {
     return std::make_unique<Bent>(name, terms, seed);
   };
   return hooks;
--- a/src/lab/players.cpp
+++ b/src/lab/players.cpp
@@ -12,7 +12,7 @@
     400'000;  // over the client timeout and its slack, to see answers that come late
 }  // namespace
 
-struct Crowd::Player final : websocket::Channel::Ear {
+struct Crowd::Player final : websocket::Channel::Handler {
   enum class State { waiting, opening, asking, playing, done };
   Crowd* crowd = nullptr;
   Arrival arrival;
@@ -25,7 +25,7 @@
   bool first = true;        // the very first ask has not been sent
   bool comingBack = false;  // a closer, with the same key
   bool closeNext = false;
-  std::string askKey;
+  std::string idempotencyKey;
   std::size_t seen = 0;  // its ask in the record
   std::size_t secondSeen = 0;
   std::unique_ptr<websocket::Channel> channel;
@@ -46,7 +46,7 @@
 
 Crowd::Crowd(Stage& stage, const Processes& processes, std::vector<Arrival> arrivals, std::uint64_t seed)
     : stage_(stage), processes_(processes), chance_(seed, 3), arrivals_(std::move(arrivals)) {
-  const Terms& t = stage.day->deployment.terms;
+  const ControlSettings& t = stage.day->deployment.terms;
   for (const Arrival& a : arrivals_)
     if (a.manner != Manner::mute && a.manner != Manner::garbage)
       tallies_.offered += static_cast<double>(std::min(a.length, stage.day->length - a.at)) / 1e6 *
@@ -96,14 +96,15 @@
   }
   player.state = Player::State::opening;
   player.wakeAt = stage_.now() + 2'000'000;
-  net::Bev bev = net::connectTo(stage_.base, "127.0.0.1", place.players);
-  if (!bev) {
+  net::BufferEvent bufferEvent = net::connectTo(stage_.base, "127.0.0.1", place.players);
+  if (!bufferEvent) {
     player.state = Player::State::waiting;
     player.wakeAt = stage_.now() + tryAnother;
     return;
   }
-  player.channel = std::make_unique<websocket::Channel>(std::move(bev), player, websocket::ChannelLimits{},
-                                                        false, "127.0.0.1:" + std::to_string(place.players));
+  player.channel =
+      std::make_unique<websocket::Channel>(std::move(bufferEvent), player, websocket::ChannelLimits{}, false,
+                                           "127.0.0.1:" + std::to_string(place.players));
 }
 
 void Crowd::ask(Player& player, bool again) {
@@ -122,23 +123,23 @@
     return;
   }
   if (!again)
-    player.askKey =
+    player.idempotencyKey =
         "d" + std::to_string(player.place) + ":" + player.viewer() + "." + std::to_string(++player.tries);
-  websocket::AskMessage message;
+  websocket::PlayMessage message;
   message.id = again ? "again" : "a" + std::to_string(player.tries);
-  message.key = player.askKey;
+  message.key = player.idempotencyKey;
   message.viewer = player.viewer();
   message.title = "t" + std::to_string(player.arrival.title);
   message.room = deployment.roomTypes[room];
   message.top = player.arrival.top;
   message.length = std::max<Micros>(1'000, player.endsAt - now);
-  if (again) message.again = "d" + std::to_string(player.place);
+  if (again) message.previousDirector = "d" + std::to_string(player.place);
   audit::AskSeen seen;
   seen.at = now;
   seen.director = player.place;
   seen.run = player.run;
   seen.viewer = message.viewer;
-  seen.askKey = message.key;
+  seen.idempotencyKey = message.key;
   seen.title = message.title;
   seen.roomType = player.arrival.roomType;
   seen.timeout = deployment.clientTimeouts[room];
@@ -163,29 +164,29 @@
 }
 
 void Crowd::heard(Player& player, const websocket::AnswerMessage& answer) {
-  using websocket::Said;
+  using websocket::AnswerKind;
   const Micros now = stage_.now();
   const bool second = answer.id == "again" && player.secondSeen != player.seen;
   audit::AskSeen& seen = stage_.record->asks[second ? player.secondSeen : player.seen];
   const auto record = [&](audit::AskSeen::Answer::Kind kind) { seen.answers.push_back({now, kind}); };
   const Micros objective =
       stage_.day->deployment.terms.roomTypes[static_cast<std::size_t>(player.arrival.roomType)].joinObjective;
-  switch (answer.said) {
-    case Said::hello:
+  switch (answer.kind) {
+    case AnswerKind::hello:
       return;
-    case Said::playing:
+    case AnswerKind::playing:
       record(audit::AskSeen::Answer::Kind::playing);
       ++tallies_.playing;
       if (now - player.askedAt <= objective) ++tallies_.inTime;
       player.state = Player::State::playing;
       player.wakeAt = player.endsAt + 2'000'000;
       return;
-    case Said::throttled:
+    case AnswerKind::throttled:
       record(audit::AskSeen::Answer::Kind::throttled);
       ++tallies_.throttled;
       if (second) return;
       return over(player, answer.retryAfter, true);
-    case Said::terminated: {
+    case AnswerKind::terminated: {
       record(audit::AskSeen::Answer::Kind::terminated);
       ++tallies_.terminated;
       if (second) return;
@@ -194,13 +195,13 @@
           Effect::repeatable;
       return over(player, 0, safe);
     }
-    case Said::ended:
+    case AnswerKind::ended:
       if (second) return;
       ++tallies_.ended;
       return over(player, answer.retryAfter, answer.reason != "finished");
-    case Said::rung:
+    case AnswerKind::rung:
       return;
-    case Said::error:
+    case AnswerKind::error:
       return over(player, 0, false);
   }
 }
--- a/src/lab/run.cpp
+++ b/src/lab/run.cpp
@@ -86,7 +86,7 @@
   Day day_;
   history::History history_;
   bool begun_ = false;
-  net::Base base_;
+  net::EventBase base_;
   audit::Record record_;
   model::World world_;
   Stage stage_;
@@ -426,14 +426,14 @@
 
 RunResult Laboratory::verdict(bool clean) {
   RunResult result;
-  audit::Figures figures;
-  figures.terms = day_.deployment.terms;
-  figures.clientTimeouts = day_.deployment.clientTimeouts;
-  figures.grace = day_.deployment.bounds.grace;
-  figures.answerSlack = day_.answerSlack;
-  figures.orderSlack = 250 * millisecond;
-  figures.listLook = day_.deployment.lookEvery + 400 * millisecond;
-  result.rows = audit::check(record_, figures);
+  audit::Statistics statistics;
+  statistics.terms = day_.deployment.terms;
+  statistics.clientTimeouts = day_.deployment.clientTimeouts;
+  statistics.grace = day_.deployment.bounds.grace;
+  statistics.answerSlack = day_.answerSlack;
+  statistics.orderSlack = 250 * millisecond;
+  statistics.listLook = day_.deployment.lookEvery + 400 * millisecond;
+  result.rows = audit::check(record_, statistics);
   result.tallies = crowd_->tallies();
   double earned = 0;
   for (const auto& [viewer, benefit] : world_.earned()) earned += benefit;
--- a/src/lab/stand_in.cpp
+++ b/src/lab/stand_in.cpp
@@ -10,7 +10,7 @@
 
 struct StandIn::Connection {
   StandIn* owner = nullptr;
-  net::Bev bev;
+  net::BufferEvent bufferEvent;
   media::Reader reader;
   std::string director;
   bool dead = false;
@@ -43,7 +43,7 @@
   port_ = net::portOf(listener_.get());
   startedAt_ = stage.now();
   stage.world->addNode(node, cell, startedAt_, coldStart);
-  stage.record->starts.push_back({node, startedAt_, stage.day->deployment.terms.placesByKind[0], coldStart});
+  stage.record->starts.push_back({node, startedAt_, stage.day->deployment.terms.slotsByKind[0], coldStart});
 }
 StandIn::~StandIn() = default;
 
@@ -52,17 +52,17 @@
   net::noDelay(fd);
   auto connection = std::make_unique<Connection>();
   connection->owner = &self;
-  connection->bev.reset(
+  connection->bufferEvent.reset(
       bufferevent_socket_new(self.stage_.base, fd, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS));
-  bufferevent_setcb(connection->bev.get(), onRead, nullptr, onEvent, connection.get());
-  bufferevent_enable(connection->bev.get(), EV_READ | EV_WRITE);
+  bufferevent_setcb(connection->bufferEvent.get(), onRead, nullptr, onEvent, connection.get());
+  bufferevent_enable(connection->bufferEvent.get(), EV_READ | EV_WRITE);
   self.connections_.push_back(std::move(connection));
 }
 
-void StandIn::onRead(bufferevent* bev, void* me) {
+void StandIn::onRead(bufferevent* bufferEvent, void* me) {
   auto& connection = *static_cast<Connection*>(me);
   if (connection.dead) return;
-  evbuffer* input = bufferevent_get_input(bev);
+  evbuffer* input = bufferevent_get_input(bufferEvent);
   std::string bytes(evbuffer_get_length(input), '\0');
   evbuffer_remove(input, bytes.data(), bytes.size());
   connection.reader.feed(bytes);
@@ -73,16 +73,16 @@
   }
 }
 
-void StandIn::onEvent(bufferevent* bev, short what, void* me) {
+void StandIn::onEvent(bufferevent* bufferEvent, short what, void* me) {
   auto& connection = *static_cast<Connection*>(me);
   if (connection.dead || !(what & (BEV_EVENT_EOF | BEV_EVENT_ERROR))) return;
-  onRead(bev, me);
+  onRead(bufferEvent, me);
   if (!connection.dead) connection.owner->drop(connection);
 }
 
 void StandIn::drop(Connection& connection) {
   connection.dead = true;
-  bufferevent_disable(connection.bev.get(), EV_READ | EV_WRITE);
+  bufferevent_disable(connection.bufferEvent.get(), EV_READ | EV_WRITE);
   for (auto& session : sessions_)
     if (session->connection == &connection) end(*session);
 }
@@ -93,7 +93,7 @@
   for (auto& session : sessions_) end(*session);
   for (auto& connection : connections_) {
     connection->dead = true;
-    connection->bev.reset();
+    connection->bufferEvent.reset();
   }
   stage_.world->removeNode(node);
 }
@@ -108,7 +108,7 @@
   for (auto& connection : connections_) {
     if (connection->dead || connection->toldDraining) continue;
     connection->toldDraining = true;
-    evbuffer_add(bufferevent_get_output(connection->bev.get()), bytes.data(), bytes.size());
+    evbuffer_add(bufferevent_get_output(connection->bufferEvent.get()), bytes.data(), bytes.size());
   }
 }
 
@@ -148,7 +148,7 @@
   seen.director = connection.director;
   seen.subscription = message.header("Lupinsill-Subscription");
   seen.viewer = session->viewer;
-  seen.askKey = media::unescaped(message.header("Lupinsill-Ask"));
+  seen.idempotencyKey = media::unescaped(message.header("Lupinsill-Ask"));
   seen.title = named.title;
   seen.roomType = session->roomType;
   seen.rung = session->rung;
@@ -165,11 +165,11 @@
 }
 
 bool StandIn::fallsOver(Micros now) {
-  const Terms& t = stage_.day->deployment.terms;
+  const ControlSettings& t = stage_.day->deployment.terms;
   if (!coldStart || now - startedAt_ > t.coldTime) return false;
   std::erase_if(coldSeen_, [&](Micros at) { return at <= now - t.fallTime; });
   coldSeen_.push_back(now);
-  const double bears = t.placesByKind[0] * stage_.world->warmth(node, now) * static_cast<double>(t.fallTime) /
+  const double bears = t.slotsByKind[0] * stage_.world->warmth(node, now) * static_cast<double>(t.fallTime) /
                        static_cast<double>(t.coldTime) * t.overloadFactor;
   return static_cast<double>(coldSeen_.size()) > bears + 2;
 }
@@ -209,11 +209,12 @@
 
 void StandIn::startSetUp(Session& session) {
   audit::SetUpSeen& seen = stage_.record->setUps[session.seen];
-  const Terms& t = stage_.day->deployment.terms;
+  const ControlSettings& t = stage_.day->deployment.terms;
   int status = 0;
   if (faults.draining) status = 503;
-  if (status == 0 && stage_.world->streams(node) >= static_cast<std::size_t>(t.placesByKind[0])) status = 453;
-  if (status == 0 && t.refusesFrom > 0 && stage_.world->load(node, 0).link >= t.refusesFrom) status = 453;
+  if (status == 0 && stage_.world->streams(node) >= static_cast<std::size_t>(t.slotsByKind[0])) status = 453;
+  if (status == 0 && t.refusalThreshold > 0 && stage_.world->load(node, 0).link >= t.refusalThreshold)
+    status = 453;
   if (status == 0 && chance_.comes(faults.fail)) status = 500;
   if (status != 0) {
     if (status != 500) seen.refusedAt = stage_.now();
@@ -266,7 +267,7 @@
   if (!session.empty()) reply.headers.emplace_back("Session", session + ";timeout=60");
   if (load) reply.headers.emplace_back("Endpoint-Load-Metrics", media::orcaOf(report(300'000)));
   const std::string bytes = reply.bytes();
-  evbuffer_add(bufferevent_get_output(connection.bev.get()), bytes.data(), bytes.size());
+  evbuffer_add(bufferevent_get_output(connection.bufferEvent.get()), bytes.data(), bytes.size());
 }
 
 void StandIn::notify(Session& session, const char* reason, const LoadReport& told,
@@ -281,13 +282,13 @@
                      {"Notify-Reason", reason},
                      {"Endpoint-Load-Metrics", media::orcaOf(told, delivered)}};
   const std::string bytes = message.bytes();
-  evbuffer_add(bufferevent_get_output(connection.bev.get()), bytes.data(), bytes.size());
+  evbuffer_add(bufferevent_get_output(connection.bufferEvent.get()), bytes.data(), bytes.size());
 }
 
 void StandIn::notes(Micros now) {
-  const Terms& t = stage_.day->deployment.terms;
+  const ControlSettings& t = stage_.day->deployment.terms;
   const bool second = now - notedAt_ >= 1'000'000;
-  const bool full = t.reportsEvery > 0 && now - reportedAt_ >= t.reportsEvery;
+  const bool full = t.reportInterval > 0 && now - reportedAt_ >= t.reportInterval;
   if (!second && !full) return;
   const double delivered = stage_.world->load(node, t.seenAfter + stage_.laterBy).delivered;
   const bool shortNow = delivered < 0.98;
--- a/src/ledger/ledger.cpp
+++ b/src/ledger/ledger.cpp
@@ -13,17 +13,17 @@
   return digest;
 }
 
-const char* nameOf(Mark mark) {
+const char* nameOf(RecordState mark) {
   switch (mark) {
-    case Mark::intent:
+    case RecordState::intent:
       return "intent";
-    case Mark::played:
+    case RecordState::played:
       return "played";
-    case Mark::mayHaveRun:
+    case RecordState::mayHaveRun:
       return "may-have-run";
-    case Mark::over:
+    case RecordState::over:
       return "over";
-    case Mark::refused:
+    case RecordState::refused:
       return "refused";
   }
   return "?";
@@ -38,12 +38,12 @@
     return std::pair(a.until, a.key) < std::pair(b.until, b.key);
   });
   for (const Record& record : sorted) {
-    if (record.mark == Mark::refused || record.until <= now) continue;
+    if (record.mark == RecordState::refused || record.until <= now) continue;
     // An intent without an outcome may have run: the director was killed between the two. And what played
     // ended with the director that held it.
-    const Mark mark = record.mark == Mark::intent   ? Mark::mayHaveRun
-                      : record.mark == Mark::played ? Mark::over
-                                                    : record.mark;
+    const RecordState mark = record.mark == RecordState::intent   ? RecordState::mayHaveRun
+                             : record.mark == RecordState::played ? RecordState::over
+                                                                  : record.mark;
     // A clock set back must not make a record outlive its memory, or the file would never empty.
     const Micros until = std::min(record.until, now + memory_);
     if (record.key == lost) {
@@ -54,11 +54,11 @@
     order_.emplace_back(until, record.key);
   }
   // Guards against a second restart that finds the new file whole and forgets that the old one is gone.
-  if (!whole && stored_) writes_.push_back({++next_, {lost, Mark::mayHaveRun, doubtUntil_}});
+  if (!whole && stored_) writes_.push_back({++next_, {lost, RecordState::mayHaveRun, doubtUntil_}});
 }
 
-void Ledger::put(Micros now, const Digest& key, Mark mark) {
-  if (mark == Mark::refused) {
+void Ledger::put(Micros now, const Digest& key, RecordState mark) {
+  if (mark == RecordState::refused) {
     records_.erase(key);
   } else {
     records_[key] = {mark, now + memory_};
@@ -75,26 +75,27 @@
   writes_.push_back(write);
 }
 
-Seq Ledger::intend(Micros now, const Digest& key) {
-  put(now, key, Mark::intent);
+Seq Ledger::recordIntent(Micros now, const Digest& key) {
+  put(now, key, RecordState::intent);
   return next_;
 }
 
-void Ledger::mark(Micros now, const Digest& key, Mark mark) {
+void Ledger::mark(Micros now, const Digest& key, RecordState mark) {
   const auto it = records_.find(key);
   // Guards against a late `refused` of one join that would erase what another join of the key has done.
-  if (mark == Mark::refused && it != records_.end() && it->second.mark != Mark::intent) return;
+  if (mark == RecordState::refused && it != records_.end() && it->second.mark != RecordState::intent) return;
   if (it != records_.end() && it->second.mark == mark) return;
   put(now, key, mark);
 }
 
-Known Ledger::knows(Micros now, const Digest& key, bool saidToBeRepeat,
-                    std::optional<Micros> firstSentAt) const {
+LookupResult Ledger::lookup(Micros now, const Digest& key, bool saidToBeRepeat,
+                            std::optional<Micros> firstSentAt) const {
   const auto it = records_.find(key);
   if (it != records_.end() && now < it->second.until)
-    return it->second.mark == Mark::over || it->second.mark == Mark::played ? Known::played
-                                                                            : Known::mayHaveRun;
-  return saidToBeRepeat && doubtful(now, firstSentAt) ? Known::mayHaveRun : Known::nothing;
+    return it->second.mark == RecordState::over || it->second.mark == RecordState::played
+               ? LookupResult::played
+               : LookupResult::mayHaveRun;
+  return saidToBeRepeat && doubtful(now, firstSentAt) ? LookupResult::mayHaveRun : LookupResult::nothing;
 }
 
 std::vector<Write> Ledger::takeWrites() {
--- a/src/ledger/ledger.h
+++ b/src/ledger/ledger.h
@@ -29,7 +29,7 @@
 };
 Digest digestOf(const std::string& key);
 
-enum class Mark : std::uint8_t {
+enum class RecordState : std::uint8_t {
   intent = 1,      // a join is about to leave, or has left
   played = 2,      // it began
   mayHaveRun = 3,  // it ended without proof either way
@@ -37,11 +37,11 @@
   refused = 5,     // provably nothing ran; as good as no record
 };
 
-const char* nameOf(Mark mark);
+const char* nameOf(RecordState mark);
 
 struct Record {
   Digest key;
-  Mark mark = Mark::intent;
+  RecordState mark = RecordState::intent;
   Micros until = 0;
 };
 
@@ -51,7 +51,7 @@
   Record record;  // refused: erase it
 };
 
-enum class Known { nothing, mayHaveRun, played };
+enum class LookupResult { nothing, mayHaveRun, played };
 
 class Ledger {
  public:
@@ -64,11 +64,11 @@
   void recover(Micros now, const std::vector<Record>& records, bool whole);
 
   // A number to wait for: the join may leave once isDurable() says so.
-  Seq intend(Micros now, const Digest& key);
-  void mark(Micros now, const Digest& key, Mark mark);
+  Seq recordIntent(Micros now, const Digest& key);
+  void mark(Micros now, const Digest& key, RecordState mark);
   // `firstSentAt`: when the key was first sent at the earliest, where its client said so.
-  Known knows(Micros now, const Digest& key, bool saidToBeRepeat,
-              std::optional<Micros> firstSentAt = std::nullopt) const;
+  LookupResult lookup(Micros now, const Digest& key, bool saidToBeRepeat,
+                      std::optional<Micros> firstSentAt = std::nullopt) const;
   bool full() const { return records_.size() >= most_; }
   std::size_t size() const { return records_.size(); }
   // Whether a record of then may have been lost. Guards against doubting every repeat for the whole memory:
@@ -86,10 +86,10 @@
 
  private:
   struct Entry {
-    Mark mark = Mark::intent;
+    RecordState mark = RecordState::intent;
     Micros until = 0;
   };
-  void put(Micros now, const Digest& key, Mark mark);
+  void put(Micros now, const Digest& key, RecordState mark);
 
   Micros memory_;
   std::size_t most_;
--- a/src/media/nodes.cpp
+++ b/src/media/nodes.cpp
@@ -12,19 +12,19 @@
   NodeId node = 0;
   std::string host;
   int port = 0;
-  net::Bev bev;
+  net::BufferEvent bufferEvent;
   Reader reader;
   bool connected = false;
   bool dead = false;
   Micros since = 0;  // of connecting, then of the last use
   long long cseq = 0;
   struct Awaited {
-    session::JoinKey join;
+    session::JoinId join;
     enum class Step { setUp, play, other } step;
   };
   std::map<long long, Awaited> awaited;
-  std::map<std::string, session::JoinKey> sessions;
-  std::vector<session::JoinKey> waiting;  // for the connection
+  std::map<std::string, session::JoinId> sessions;
+  std::vector<session::JoinId> waiting;  // for the connection
 
   std::string address() const { return host + ":" + std::to_string(port); }
   static void onRead(bufferevent*, void* me);
@@ -84,31 +84,37 @@
   return true;
 }
 
-Nodes::Nodes(event_base* base, Ear& ear, std::string director, const settings::NodeLimits& limits,
+Nodes::Nodes(event_base* base, Handler& handler, std::string director, const settings::NodeLimits& limits,
              net::Connect connect)
-    : base_(base), ear_(ear), director_(std::move(director)), limits_(limits), connect_(std::move(connect)) {}
+    : base_(base),
+      handler_(handler),
+      director_(std::move(director)),
+      limits_(limits),
+      connect_(std::move(connect)) {}
 Nodes::~Nodes() = default;
 
 // ---- orders ----
 
-void Nodes::setUp(const session::SetUp& order, const fleet::Box& box, const std::string& roomType) {
+void Nodes::setUp(const session::SetUp& order, const fleet::NodeEndpoint& endpoint,
+                  const std::string& roomType) {
   JoinAt& join = joins_[order.join];
   join.order = order;
   join.roomType = roomType;
-  Link& link = linkTo(box);
+  Link& link = linkTo(endpoint);
   join.link = &link;
   join.uri = uriOf(link.address(), order.title, roomType, order.rung);
   if (link.dead) {
     // The address was unusable, or the refusal came at once.
     finish(order.join);
-    return ear_.ended(order.join, Outcome::connectFailed, {}, false);
+    return handler_.joinEnded(order.join, Outcome::connectFailed, {}, false);
   }
   // Guards against a node that takes nothing any more: what waits behind its full socket would count as
   // written though it may never leave.
-  if (link.connected && evbuffer_get_length(bufferevent_get_output(link.bev.get())) > limits_.unsentBytes) {
-    ++figures_.stuck;
+  if (link.connected &&
+      evbuffer_get_length(bufferevent_get_output(link.bufferEvent.get())) > limits_.unsentBytes) {
+    ++statistics_.stuck;
     finish(order.join);
-    return ear_.ended(order.join, Outcome::connectFailed, {}, false);
+    return handler_.joinEnded(order.join, Outcome::connectFailed, {}, false);
   }
   if (link.connected)
     write(join);
@@ -117,10 +123,10 @@
 }
 
 void Nodes::write(JoinAt& join) {
-  const session::JoinKey key = join.order.join;
-  if (!ear_.leaves(key)) {
+  const session::JoinId key = join.order.join;
+  if (!handler_.mayWrite(key)) {
     finish(key);
-    return ear_.ended(key, Outcome::moot, {}, false);
+    return handler_.joinEnded(key, Outcome::notSent, {}, false);
   }
   join.written = true;
   // SETUP and PLAY go in one heap (RFC 7826 18.33): a join costs one turn of the wire.
@@ -146,7 +152,7 @@
     message.headers.emplace_back("Transport", "RTP/AVP;unicast");
     message.headers.emplace_back("Lupinsill-Subscription", director_ + "-" + std::to_string(join.order.sub));
     message.headers.emplace_back("Lupinsill-Viewer", escaped(join.order.viewer));
-    message.headers.emplace_back("Lupinsill-Ask", escaped(join.order.askKey));
+    message.headers.emplace_back("Lupinsill-Ask", escaped(join.order.idempotencyKey));
   } else if (method == "PLAY") {
     step = Link::Awaited::Step::play;
   }
@@ -155,7 +161,7 @@
   link.awaited[cseq] = {join.order.join, step};
   link.since = net::monotonicNow();
   const std::string bytes = message.bytes();
-  evbuffer_add(bufferevent_get_output(link.bev.get()), bytes.data(), bytes.size());
+  evbuffer_add(bufferevent_get_output(link.bufferEvent.get()), bytes.data(), bytes.size());
 }
 
 void Nodes::change(const session::ChangeRung& order) {
@@ -169,21 +175,21 @@
     send(*join.link, "SET_PARAMETER", join, "rung: " + std::to_string(order.rung) + "\r\n");
 }
 
-void Nodes::tearDown(session::JoinKey key) {
+void Nodes::tearDown(session::JoinId key) {
   const auto it = joins_.find(key);
   if (it == joins_.end()) return;
   if (it->second.written) send(*it->second.link, "TEARDOWN", it->second, "");
   finish(key);
 }
 
-void Nodes::withdraw(session::JoinKey key) {
+void Nodes::withdraw(session::JoinId key) {
   const auto it = joins_.find(key);
   if (it == joins_.end() || it->second.written) return;
   finish(key);
-  ear_.ended(key, Outcome::moot, {}, false);
+  handler_.joinEnded(key, Outcome::notSent, {}, false);
 }
 
-void Nodes::finish(session::JoinKey key) {
+void Nodes::finish(session::JoinId key) {
   const auto it = joins_.find(key);
   if (it == joins_.end()) return;
   if (it->second.link != nullptr) {
@@ -195,29 +201,29 @@
 
 // ---- connections ----
 
-Nodes::Link& Nodes::linkTo(const fleet::Box& box) {
-  auto& slot = links_[box.node];
+Nodes::Link& Nodes::linkTo(const fleet::NodeEndpoint& endpoint) {
+  auto& slot = links_[endpoint.node];
   // A node that came back may answer elsewhere.
-  if (slot && !slot->dead && (slot->host != box.host || slot->port != box.port))
+  if (slot && !slot->dead && (slot->host != endpoint.host || slot->port != endpoint.port))
     lost(*slot, !slot->connected);
   if (slot && slot->dead) dead_.push_back(std::move(slot));
   if (slot) return *slot;
   slot = std::make_unique<Link>();
   Link& link = *slot;
   link.owner = this;
-  link.node = box.node;
-  link.host = box.host;
-  link.port = box.port;
+  link.node = endpoint.node;
+  link.host = endpoint.host;
+  link.port = endpoint.port;
   link.since = net::monotonicNow();
-  link.bev = connect_(base_, box.host, box.port);
-  ++figures_.connects;
-  if (!link.bev) {
-    ++figures_.connectsFailed;
+  link.bufferEvent = connect_(base_, endpoint.host, endpoint.port);
+  ++statistics_.connects;
+  if (!link.bufferEvent) {
+    ++statistics_.connectsFailed;
     link.dead = true;
     return link;
   }
-  bufferevent_setcb(link.bev.get(), Link::onRead, nullptr, Link::onEvent, &link);
-  bufferevent_enable(link.bev.get(), EV_READ | EV_WRITE);
+  bufferevent_setcb(link.bufferEvent.get(), Link::onRead, nullptr, Link::onEvent, &link);
+  bufferevent_enable(link.bufferEvent.get(), EV_READ | EV_WRITE);
   return link;
 }
 
@@ -227,9 +233,9 @@
   if (what & BEV_EVENT_CONNECTED) {
     link.connected = true;
     link.since = net::monotonicNow();
-    const std::vector<session::JoinKey> waiting = std::move(link.waiting);
+    const std::vector<session::JoinId> waiting = std::move(link.waiting);
     link.waiting.clear();
-    for (const session::JoinKey key : waiting)
+    for (const session::JoinId key : waiting)
       if (const auto it = link.owner->joins_.find(key); it != link.owner->joins_.end())
         link.owner->write(it->second);
     return;
@@ -243,17 +249,17 @@
 
 void Nodes::lost(Link& link, bool connecting) {
   link.dead = true;
-  ++(connecting ? figures_.connectsFailed : figures_.lost);
-  bufferevent_disable(link.bev.get(), EV_READ | EV_WRITE);
-  bufferevent_setcb(link.bev.get(), nullptr, nullptr, nullptr, nullptr);
-  link.bev.reset();
-  std::vector<session::JoinKey> held;
+  ++(connecting ? statistics_.connectsFailed : statistics_.lost);
+  bufferevent_disable(link.bufferEvent.get(), EV_READ | EV_WRITE);
+  bufferevent_setcb(link.bufferEvent.get(), nullptr, nullptr, nullptr, nullptr);
+  link.bufferEvent.reset();
+  std::vector<session::JoinId> held;
   for (const auto& [key, join] : joins_)
     if (join.link == &link) held.push_back(key);
-  for (const session::JoinKey key : held) {
+  for (const session::JoinId key : held) {
     const bool written = joins_.at(key).written;
     finish(key);
-    ear_.ended(key, written ? Outcome::reset : Outcome::connectFailed, {}, false);
+    handler_.joinEnded(key, written ? Outcome::reset : Outcome::connectFailed, {}, false);
   }
 }
 
@@ -272,10 +278,10 @@
   dead_.clear();
 }
 
-NodesFigures Nodes::figures() const {
-  NodesFigures figures = figures_;
-  figures.connections = links_.size();
-  return figures;
+NodesStatistics Nodes::statistics() const {
+  NodesStatistics statistics = statistics_;
+  statistics.connections = links_.size();
+  return statistics;
 }
 
 // ---- what comes back ----
@@ -283,7 +289,7 @@
 void Nodes::Link::onRead(bufferevent*, void* me) {
   Link& link = *static_cast<Link*>(me);
   if (link.dead || !link.connected) return;
-  evbuffer* input = bufferevent_get_input(link.bev.get());
+  evbuffer* input = bufferevent_get_input(link.bufferEvent.get());
   std::string bytes(evbuffer_get_length(input), '\0');
   evbuffer_remove(input, bytes.data(), bytes.size());
   link.since = net::monotonicNow();
@@ -299,7 +305,7 @@
     }
   } catch (const BadRtsp&) {
     // Nothing that follows can be told apart: the connection is as good as lost.
-    ++link.owner->figures_.badBytes;
+    ++link.owner->statistics_.badBytes;
     link.owner->lost(link, false);
   }
 }
@@ -312,7 +318,7 @@
   const auto it = joins_.find(what.join);
   if (it == joins_.end()) {
     // The join was given up on meanwhile; its TEARDOWN is on the way.
-    if (what.step != Link::Awaited::Step::other) ++figures_.lateAnswers;
+    if (what.step != Link::Awaited::Step::other) ++statistics_.lateAnswers;
     return;
   }
   JoinAt& join = it->second;
@@ -322,7 +328,7 @@
     // A session that the node does not know any more has ended there.
     if (message.status == 454) {
       finish(what.join);
-      ear_.ended(what.join, Outcome::reset, orca.report, false);
+      handler_.joinEnded(what.join, Outcome::reset, orca.report, false);
     }
     return;
   }
@@ -331,7 +337,7 @@
     const bool ran = !join.session.empty();
     if (ran) send(link, "TEARDOWN", join, "");
     finish(what.join);
-    return ear_.ended(what.join, ran ? Outcome::error : outcome, orca.report, false);
+    return handler_.joinEnded(what.join, ran ? Outcome::error : outcome, orca.report, false);
   }
   if (what.step == Link::Awaited::Step::setUp) {
     std::string_view session = message.header("Session");
@@ -341,15 +347,15 @@
     return;
   }
   join.began = true;
-  ear_.began(what.join);
+  handler_.joinStarted(what.join);
   tell(what.join, orca);
 }
 
-void Nodes::tell(session::JoinKey join, const Orca& orca) {
-  if (orca.delivered) ear_.noted(join, Reading::delivered, *orca.delivered);
+void Nodes::tell(session::JoinId join, const Orca& orca) {
+  if (orca.delivered) handler_.measured(join, MeasurementKind::delivered, *orca.delivered);
   const auto& link = orca.report.linkUse ? orca.report.linkUse : orca.report.linkShare;
-  if (link) ear_.noted(join, Reading::link, *link);
-  if (orca.report.uplinkUse) ear_.noted(join, Reading::uplink, *orca.report.uplinkUse);
+  if (link) handler_.measured(join, MeasurementKind::link, *link);
+  if (orca.report.uplinkUse) handler_.measured(join, MeasurementKind::uplink, *orca.report.uplinkUse);
 }
 
 void Nodes::asked(Link& link, const Message& message) {
@@ -357,18 +363,18 @@
   reply.status = message.method == "PLAY_NOTIFY" || message.method == "REDIRECT" ? 200 : 501;
   reply.headers.emplace_back("CSeq", std::string(message.header("CSeq")));
   const std::string bytes = reply.bytes();
-  evbuffer_add(bufferevent_get_output(link.bev.get()), bytes.data(), bytes.size());
+  evbuffer_add(bufferevent_get_output(link.bufferEvent.get()), bytes.data(), bytes.size());
   // REDIRECT without a session speaks of all of them (RFC 7826 13.10): the node drains.
-  if (message.method == "REDIRECT") return ear_.drains(link.node);
+  if (message.method == "REDIRECT") return handler_.nodeDrains(link.node);
   if (message.method != "PLAY_NOTIFY") return;
   const auto it = link.sessions.find(std::string(message.header("Session")));
   if (it == link.sessions.end()) return;
-  const session::JoinKey join = it->second;
+  const session::JoinId join = it->second;
   const Orca orca = readOrca(message.header("Endpoint-Load-Metrics"));
   const std::string_view reason = message.header("Notify-Reason");
   if (reason == "end-of-stream") {
     finish(join);
-    return ear_.ended(join, Outcome::ok, orca.report, true);
+    return handler_.joinEnded(join, Outcome::ok, orca.report, true);
   }
   tell(join, orca);
 }
--- a/src/media/nodes.h
+++ b/src/media/nodes.h
@@ -20,34 +20,35 @@
 
 namespace lupinsill::media {
 
-struct NodesFigures {
+struct NodesStatistics {
   std::uint64_t connects = 0, connectsFailed = 0, lost = 0, badBytes = 0, lateAnswers = 0, stuck = 0;
   std::size_t connections = 0;
 };
 
 class Nodes {
  public:
-  struct Ear {
-    virtual ~Ear() = default;
+  struct Handler {
+    virtual ~Handler() = default;
     // Asked as a join is about to be written; false: it is not, and has ended as moot.
-    virtual bool leaves(session::JoinKey join) = 0;
-    virtual void began(session::JoinKey join) = 0;
-    virtual void ended(session::JoinKey join, Outcome outcome, const LoadReport& report, bool finished) = 0;
-    virtual void noted(session::JoinKey join, Reading reading, double value) = 0;
-    virtual void drains(NodeId node) = 0;
+    virtual bool mayWrite(session::JoinId join) = 0;
+    virtual void joinStarted(session::JoinId join) = 0;
+    virtual void joinEnded(session::JoinId join, Outcome outcome, const LoadReport& report,
+                           bool finished) = 0;
+    virtual void measured(session::JoinId join, MeasurementKind reading, double value) = 0;
+    virtual void nodeDrains(NodeId node) = 0;
   };
 
-  Nodes(event_base* base, Ear& ear, std::string director, const settings::NodeLimits& limits,
+  Nodes(event_base* base, Handler& handler, std::string director, const settings::NodeLimits& limits,
         net::Connect connect = net::connectTo);
   ~Nodes();
 
-  void setUp(const session::SetUp& order, const fleet::Box& box, const std::string& roomType);
+  void setUp(const session::SetUp& order, const fleet::NodeEndpoint& endpoint, const std::string& roomType);
   void change(const session::ChangeRung& order);
-  void tearDown(session::JoinKey join);
-  void withdraw(session::JoinKey join);
+  void tearDown(session::JoinId join);
+  void withdraw(session::JoinId join);
   void setLimits(const settings::NodeLimits& limits) { limits_ = limits; }
   void tick(Micros now);  // connect time-outs, idle connections, and frees what has died
-  NodesFigures figures() const;
+  NodesStatistics statistics() const;
 
  private:
   struct Link;
@@ -60,24 +61,24 @@
     bool written = false;
     bool began = false;
   };
-  Link& linkTo(const fleet::Box& box);
+  Link& linkTo(const fleet::NodeEndpoint& endpoint);
   void write(JoinAt& join);
   void send(Link& link, const std::string& method, const JoinAt& join, const std::string& body);
   void lost(Link& link, bool connecting);
   void answered(Link& link, const Message& message);
   void asked(Link& link, const Message& message);
-  void tell(session::JoinKey join, const Orca& orca);
-  void finish(session::JoinKey join);
+  void tell(session::JoinId join, const Orca& orca);
+  void finish(session::JoinId join);
 
   event_base* base_;
-  Ear& ear_;
+  Handler& handler_;
   std::string director_;
   settings::NodeLimits limits_;
   net::Connect connect_;
   std::map<NodeId, std::unique_ptr<Link>> links_;
   std::vector<std::unique_ptr<Link>> dead_;
-  std::map<session::JoinKey, JoinAt> joins_;
-  NodesFigures figures_;
+  std::map<session::JoinId, JoinAt> joins_;
+  NodesStatistics statistics_;
 };
 
 // What one title and rung are named on the wire; the stand-in nodes read it back.
--- a/src/model/world.cpp
+++ b/src/model/world.cpp
@@ -7,7 +7,7 @@
 constexpr Micros pastKept = 6'000'000;
 }
 
-World::World(const Terms& terms, const LinkPlan& plan, std::uint64_t seed)
+World::World(const ControlSettings& terms, const LinkPlan& plan, std::uint64_t seed)
     : terms_(terms), plan_(plan), chance_(seed, 2) {
   for (int rack = 0; rack < std::max(1, terms.racks); ++rack) {
     uplinkFactor_[rack] = 1 + chance_.between(-plan.spread, plan.spread);
@@ -31,7 +31,7 @@
 
 double World::warmth(NodeId node, Micros now) const {
   const Node& n = nodes_.at(node);
-  const Terms& t = terms_;
+  const ControlSettings& t = terms_;
   if (!n.coldStart) return 1;
   const double age = static_cast<double>(now - n.startedAt) / static_cast<double>(t.coldTime);
   return t.startCapacity + (1 - t.startCapacity) * std::clamp(age, 0.0, 1.0);
@@ -47,7 +47,7 @@
 void World::setRung(Stream stream, int rung) {
   const auto it = streams_.find(stream);
   if (it == streams_.end() || it->second.rung == rung) return;
-  const Terms& t = terms_;
+  const ControlSettings& t = terms_;
   const RoomType& room = t.roomTypes[static_cast<std::size_t>(it->second.roomType)];
   it->second.rung = rung;
   ++rungSteps_;
@@ -69,7 +69,7 @@
 void World::step(Micros now) {
   const double seconds = last_ == 0 ? 0 : static_cast<double>(now - last_) / 1e6;
   last_ = now;
-  const Terms& t = terms_;
+  const ControlSettings& t = terms_;
   const int racks = std::max(1, t.racks);
   std::map<NodeId, double> asked;
   std::map<int, double> rackAsked;
@@ -83,7 +83,7 @@
   for (auto& [id, n] : nodes_) {
     const int rack = n.cell % racks;
     const double link = plan_.linkKb * n.factor * warmth(id, now) / n.cut;
-    const double uplink = t.rackKb > 0 ? t.rackKb * uplinkFactor_[rack] / uplinkCut_[rack] : 1e18;
+    const double uplink = t.rackUplinkKb > 0 ? t.rackUplinkKb * uplinkFactor_[rack] / uplinkCut_[rack] : 1e18;
     NodeLoad load{asked[id] / link, rackAsked[rack] / uplink, 1};
     share[id] = n.stalled ? 0 : std::min(1.0, 1 / std::max({1e-9, load.link, load.uplink}));
     // What is told is smoothed over about a second.
--- a/src/model/world.h
+++ b/src/model/world.h
@@ -30,7 +30,7 @@
 
 class World {
  public:
-  World(const Terms& terms, const LinkPlan& plan, std::uint64_t seed);
+  World(const ControlSettings& terms, const LinkPlan& plan, std::uint64_t seed);
 
   void addNode(NodeId node, int cell, Micros startedAt, bool coldStart);
   void removeNode(NodeId node);
@@ -70,7 +70,7 @@
     double factor;  // of its title's rate
     bool earns;
   };
-  Terms terms_;
+  ControlSettings terms_;
   LinkPlan plan_;
   Chance chance_;
   std::map<NodeId, Node> nodes_;
--- a/src/net/handles.cpp
+++ b/src/net/handles.cpp
@@ -26,11 +26,11 @@
                   void* user) {
   sockaddr_in address{};
   const std::string named = host + ":" + std::to_string(port);
-  if (!addressOf(host, port, address)) throw CannotListen(named + ": expected an IPv4 address or localhost");
+  if (!addressOf(host, port, address)) throw ListenError(named + ": expected an IPv4 address or localhost");
   Listener listener(evconnlistener_new_bind(base, onAccept, user,
                                             LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE | LEV_OPT_CLOSE_ON_EXEC,
                                             1024, reinterpret_cast<sockaddr*>(&address), sizeof address));
-  if (!listener) throw CannotListen(named + ": " + std::strerror(errno));
+  if (!listener) throw ListenError(named + ": " + std::strerror(errno));
   return listener;
 }
 
@@ -42,21 +42,21 @@
   return ntohs(address.sin_port);
 }
 
-Bev acceptPlain(event_base* base, evutil_socket_t fd) {
-  Bev bev(bufferevent_socket_new(base, fd, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS));
-  if (!bev) evutil_closesocket(fd);
-  return bev;
+BufferEvent acceptPlain(event_base* base, evutil_socket_t fd) {
+  BufferEvent bufferEvent(bufferevent_socket_new(base, fd, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS));
+  if (!bufferEvent) evutil_closesocket(fd);
+  return bufferEvent;
 }
 
-Bev connectTo(event_base* base, const std::string& host, int port) {
+BufferEvent connectTo(event_base* base, const std::string& host, int port) {
   sockaddr_in address{};
   if (!addressOf(host, port, address)) return nullptr;
-  Bev bev(bufferevent_socket_new(base, -1, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS));
-  if (!bev ||
-      bufferevent_socket_connect(bev.get(), reinterpret_cast<sockaddr*>(&address), sizeof address) != 0)
+  BufferEvent bufferEvent(bufferevent_socket_new(base, -1, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS));
+  if (!bufferEvent || bufferevent_socket_connect(bufferEvent.get(), reinterpret_cast<sockaddr*>(&address),
+                                                 sizeof address) != 0)
     return nullptr;
-  noDelay(bufferevent_getfd(bev.get()));
-  return bev;
+  noDelay(bufferevent_getfd(bufferEvent.get()));
+  return bufferEvent;
 }
 
 void noDelay(int fd) {
--- a/src/net/handles.h
+++ b/src/net/handles.h
@@ -23,27 +23,27 @@
   }
 };
 
-using Base = std::unique_ptr<event_base, Freer<event_base_free>>;
-using Bev = std::unique_ptr<bufferevent, Freer<bufferevent_free>>;
+using EventBase = std::unique_ptr<event_base, Freer<event_base_free>>;
+using BufferEvent = std::unique_ptr<bufferevent, Freer<bufferevent_free>>;
 using Event = std::unique_ptr<event, Freer<event_free>>;
 using Listener = std::unique_ptr<evconnlistener, Freer<evconnlistener_free>>;
 using Http = std::unique_ptr<evhttp, Freer<evhttp_free>>;
 
-struct CannotListen : std::runtime_error {
+struct ListenError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-// Listens on host:port; port 0 takes a free one. Throws CannotListen.
+// Listens on host:port; port 0 takes a free one. Throws ListenError.
 Listener listenOn(event_base* base, const std::string& host, int port, evconnlistener_cb onAccept,
                   void* user);
 int portOf(evconnlistener* listener);
 // How an accepted socket becomes a bufferevent, plain or under TLS; null (and the socket closed) where it
 // cannot.
-using Accept = std::function<Bev(event_base* base, evutil_socket_t fd)>;
-Bev acceptPlain(event_base* base, evutil_socket_t fd);
+using Accept = std::function<BufferEvent(event_base* base, evutil_socket_t fd)>;
+BufferEvent acceptPlain(event_base* base, evutil_socket_t fd);
 // A bufferevent that connects; null where the address is unusable.
-Bev connectTo(event_base* base, const std::string& host, int port);
-using Connect = std::function<Bev(event_base* base, const std::string& host, int port)>;
+BufferEvent connectTo(event_base* base, const std::string& host, int port);
+using Connect = std::function<BufferEvent(event_base* base, const std::string& host, int port)>;
 void noDelay(int fd);
 
 // The one clock of a process: whole microseconds, never back.
--- a/src/net/tls.cpp
+++ b/src/net/tls.cpp
@@ -37,19 +37,19 @@
 Tls::Context Tls::make() const {
   ERR_clear_error();
   Context context(SSL_CTX_new(side_ == Side::server ? TLS_server_method() : TLS_client_method()));
-  if (!context) throw BadTls("TLS cannot start: " + whyNot());
+  if (!context) throw TlsError("TLS cannot start: " + whyNot());
   SSL_CTX_set_min_proto_version(context.get(), TLS1_2_VERSION);
   SSL_CTX_set_mode(context.get(), SSL_MODE_RELEASE_BUFFERS);
   if (!files_.certificate.empty()) {
     if (SSL_CTX_use_certificate_chain_file(context.get(), files_.certificate.c_str()) != 1)
-      throw BadTls(files_.certificate + ": certificate cannot be used: " + whyNot());
+      throw TlsError(files_.certificate + ": certificate cannot be used: " + whyNot());
     // Refuses as well, against a certificate that was renewed while its key was not, what does not fit it.
     if (SSL_CTX_use_PrivateKey_file(context.get(), files_.key.c_str(), SSL_FILETYPE_PEM) != 1)
-      throw BadTls(files_.key + ": key cannot be used: " + whyNot());
+      throw TlsError(files_.key + ": key cannot be used: " + whyNot());
   }
   if (!files_.authority.empty() &&
       SSL_CTX_load_verify_locations(context.get(), files_.authority.c_str(), nullptr) != 1)
-    throw BadTls(files_.authority + ": authority cannot be used: " + whyNot());
+    throw TlsError(files_.authority + ": authority cannot be used: " + whyNot());
   if (side_ == Side::client)
     SSL_CTX_set_verify(context.get(), SSL_VERIFY_PEER, nullptr);
   else if (!files_.authority.empty())
@@ -75,22 +75,23 @@
   return SSL_TLSEXT_ERR_OK;
 }
 
-Bev Tls::accept(event_base* base, evutil_socket_t fd) const {
+BufferEvent Tls::accept(event_base* base, evutil_socket_t fd) const {
   SSL* ssl = SSL_new(context_.get());
-  Bev bev(ssl == nullptr ? nullptr
-                         : bufferevent_openssl_socket_new(base, fd, ssl, BUFFEREVENT_SSL_ACCEPTING,
-                                                          BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS));
-  if (!bev) {
+  BufferEvent bufferEvent(
+      ssl == nullptr ? nullptr
+                     : bufferevent_openssl_socket_new(base, fd, ssl, BUFFEREVENT_SSL_ACCEPTING,
+                                                      BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS));
+  if (!bufferEvent) {
     if (ssl != nullptr) SSL_free(ssl);
     evutil_closesocket(fd);
     return nullptr;
   }
   // A peer that closes without TLS's own goodbye closes all the same.
-  bufferevent_openssl_set_allow_dirty_shutdown(bev.get(), 1);
-  return bev;
+  bufferevent_openssl_set_allow_dirty_shutdown(bufferEvent.get(), 1);
+  return bufferEvent;
 }
 
-Bev Tls::connect(event_base* base, const std::string& host, int port) const {
+BufferEvent Tls::connect(event_base* base, const std::string& host, int port) const {
   sockaddr_in address{};
   address.sin_family = AF_INET;
   address.sin_port = htons(static_cast<std::uint16_t>(port));
@@ -103,17 +104,18 @@
     X509_VERIFY_PARAM_set1_host(verify, host.c_str(), host.size());
   else
     X509_VERIFY_PARAM_set1_ip_asc(verify, host.c_str());
-  Bev bev(bufferevent_openssl_socket_new(base, -1, ssl, BUFFEREVENT_SSL_CONNECTING,
-                                         BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS));
-  if (!bev) {
+  BufferEvent bufferEvent(bufferevent_openssl_socket_new(base, -1, ssl, BUFFEREVENT_SSL_CONNECTING,
+                                                         BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS));
+  if (!bufferEvent) {
     SSL_free(ssl);
     return nullptr;
   }
-  bufferevent_openssl_set_allow_dirty_shutdown(bev.get(), 1);
-  if (bufferevent_socket_connect(bev.get(), reinterpret_cast<sockaddr*>(&address), sizeof address) != 0)
+  bufferevent_openssl_set_allow_dirty_shutdown(bufferEvent.get(), 1);
+  if (bufferevent_socket_connect(bufferEvent.get(), reinterpret_cast<sockaddr*>(&address), sizeof address) !=
+      0)
     return nullptr;
-  noDelay(bufferevent_getfd(bev.get()));
-  return bev;
+  noDelay(bufferevent_getfd(bufferEvent.get()));
+  return bufferEvent;
 }
 
 }  // namespace lupinsill::net
--- a/src/net/tls.h
+++ b/src/net/tls.h
@@ -1,6 +1,6 @@
 // TLS on libevent's OpenSSL bufferevents, for players' listeners and for connections to media nodes. TLS 1.2
 // and up. A reload replaces the certificates for connections from then on; those that stand keep theirs.
-// Errors: BadTls with one line that names the file, at the start and on reload (the old ones then stay in
+// Errors: TlsError with one line that names the file, at the start and on reload (the old ones then stay in
 // force).
 #pragma once
 
@@ -14,7 +14,7 @@
 
 namespace lupinsill::net {
 
-struct BadTls : std::runtime_error {
+struct TlsError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
@@ -36,9 +36,9 @@
   void takeOver(Tls& other);
 
   // Server: null where the socket cannot be served.
-  Bev accept(event_base* base, evutil_socket_t fd) const;
+  BufferEvent accept(event_base* base, evutil_socket_t fd) const;
   // Client: verifies the peer against the authority and the host it was asked for.
-  Bev connect(event_base* base, const std::string& host, int port) const;
+  BufferEvent connect(event_base* base, const std::string& host, int port) const;
 
  private:
   struct Free {
--- a/src/platform/configuration.cpp
+++ b/src/platform/configuration.cpp
@@ -10,7 +10,7 @@
 
 namespace lupinsill::platform {
 
-using namespace terms;
+using namespace control_settings;
 
 namespace {
 
@@ -21,44 +21,44 @@
 }
 
 // Numbered events from the first, which holds the whole list, to the last.
-std::vector<roster::Row> rowsOf(const Json& known) {
-  std::map<std::string, roster::Row> rows;
+std::vector<discovery::Row> rowsOf(const Json& known) {
+  std::map<std::string, discovery::Row> rows;
   for (const Json& event : listIn(known, "events")) {
     const Json& members = objectIn(event, "members");
     bool snapshot = false;
-    terms::read(members, "snapshot", snapshot);
+    control_settings::read(members, "snapshot", snapshot);
     if (snapshot) rows.clear();
     for (const Json& entry : listIn(members, "endpoints")) {
-      roster::Row row;
-      row.name = textIn(at(entry, "name"), "name");
-      const std::string status = textIn(at(entry, "status"), "status");
+      discovery::Row row;
+      row.name = parseText(at(entry, "name"), "name");
+      const std::string status = parseText(at(entry, "status"), "status");
       if (status == "removed") {
         rows.erase(row.name);
         continue;
       }
       if (status != "up" && status != "draining") bad("status", "unknown word '" + status + "'");
       row.draining = status == "draining";
-      const Place place = placeOf(textIn(at(entry, "address"), "address"), "address");
+      const HostPort place = placeOf(parseText(at(entry, "address"), "address"), "address");
       row.host = place.host;
       row.port = place.port;
-      terms::read(entry, "zone", row.zone);
-      terms::read(entry, "type", row.kind);
-      terms::read(entry, "group", row.cell);
-      terms::read(entry, "weight", row.weight);
-      if (const Json* since = found(entry, "since_ms")) row.startedMs = wholeIn(*since, "since_ms", 0);
+      control_settings::read(entry, "zone", row.zone);
+      control_settings::read(entry, "type", row.kind);
+      control_settings::read(entry, "group", row.cell);
+      control_settings::read(entry, "weight", row.weight);
+      if (const Json* since = found(entry, "since_ms")) row.startedMs = parseInteger(*since, "since_ms", 0);
       rows[row.name] = row;
     }
   }
-  std::vector<roster::Row> list;
+  std::vector<discovery::Row> list;
   for (auto& [name, row] : rows) list.push_back(std::move(row));
   return list;
 }
 
 }  // namespace
 
-Place placeOf(const std::string& text, const char* field) {
+HostPort placeOf(const std::string& text, const char* field) {
   const std::size_t colon = text.rfind(':');
-  Place place;
+  HostPort place;
   if (colon == std::string::npos || colon == 0) bad(field, "expected host:port");
   place.host = text.substr(0, colon);
   const char* end = text.data() + text.size();
@@ -72,20 +72,21 @@
   const Json json = Json::parse(text, nullptr, false);
   if (!json.is_object()) bad("LB_CONFIG", "not a JSON object");
   Configuration c;
-  c.name = textIn(at(json, "name"), "name");
-  c.listen = placeOf(textIn(at(json, "listen"), "listen"), "listen");
-  c.resolver = placeOf(textIn(at(json, "resolver"), "resolver"), "resolver");
+  c.name = parseText(at(json, "name"), "name");
+  c.listen = placeOf(parseText(at(json, "listen"), "listen"), "listen");
+  c.resolver = placeOf(parseText(at(json, "resolver"), "resolver"), "resolver");
   if (in_addr address{}; inet_pton(AF_INET, c.resolver.host.c_str(), &address) != 1)
     bad("resolver", "not an IPv4 address");
-  const std::string seed = textIn(at(json, "seed"), "seed");
+  const std::string seed = parseText(at(json, "seed"), "seed");
   const auto [last, error] = std::from_chars(seed.data(), seed.data() + seed.size(), c.seed, 16);
   if (error != std::errc() || last != seed.data() + seed.size()) bad("seed", "not hex digits");
-  c.sockets = static_cast<std::size_t>(wholeIn(at(at(json, "limits"), "sockets"), "sockets", 64, 1'000'000));
+  c.sockets =
+      static_cast<std::size_t>(parseInteger(at(at(json, "limits"), "sockets"), "sockets", 64, 1'000'000));
   const Json& known = at(json, "known");
-  c.listNumber = static_cast<std::uint64_t>(wholeIn(at(known, "n"), "n", 0));
+  c.listNumber = static_cast<std::uint64_t>(parseInteger(at(known, "n"), "n", 0));
   c.known = rowsOf(known);
   const Json& settings = at(json, "settings");
-  c.terms = termsOf(settings, c.names);
+  c.terms = parseControlSettings(settings, c.names);
   if (c.terms.roomTypes.empty()) bad("classes", "missing");
   const Json& rules = objectIn(settings, "rules");
   const Json& limits = objectIn(settings, "limits");
--- a/src/platform/configuration.h
+++ b/src/platform/configuration.h
@@ -7,32 +7,32 @@
 #include <vector>
 
 #include "control.h"
-#include "roster/dns.h"
-#include "terms/terms.h"
+#include "control_settings/control_settings.h"
+#include "discovery/dns.h"
 
 namespace lupinsill::platform {
 
-struct Place {
+struct HostPort {
   std::string host;
   int port = 0;
-  bool operator==(const Place&) const = default;
+  bool operator==(const HostPort&) const = default;
 };
 
 struct Configuration {
   std::string name;
-  Place listen, resolver;
+  HostPort listen, resolver;
   std::uint64_t seed = 0;
   std::size_t sockets = 0;
   std::uint64_t listNumber = 0;
-  std::vector<roster::Row> known;
-  Terms terms;
-  terms::Names names;
+  std::vector<discovery::Row> known;
+  ControlSettings terms;
+  control_settings::Names names;
   Micros grace = 0;
   Micros connectTime = 0;
   Micros longestTimeout = 0;
 };
 
-Place placeOf(const std::string& text, const char* field);
+HostPort placeOf(const std::string& text, const char* field);
 Configuration configurationOf(const std::string& json);
 Configuration readConfiguration(const std::string& file);
 
--- a/src/platform/link.cpp
+++ b/src/platform/link.cpp
@@ -22,17 +22,17 @@
 
 void traceMessages(bool on) { traced = on; }
 
-Link::Link(Ear& ear, net::Bev bev, bool isUp, std::string name)
-    : ear_(ear), bev_(std::move(bev)), up_(isUp), name_(std::move(name)) {
-  if (!bev_) return;
-  bufferevent_setcb(bev_.get(), onRead, nullptr, onEvent, this);
-  bufferevent_enable(bev_.get(), EV_READ | EV_WRITE);
+Link::Link(Handler& handler, net::BufferEvent bufferEvent, bool isUp, std::string name)
+    : handler_(handler), bufferEvent_(std::move(bufferEvent)), up_(isUp), name_(std::move(name)) {
+  if (!bufferEvent_) return;
+  bufferevent_setcb(bufferEvent_.get(), onRead, nullptr, onEvent, this);
+  bufferevent_enable(bufferEvent_.get(), EV_READ | EV_WRITE);
 }
 
 bool Link::sound() {
   if (!isUp()) return false;
   char byte = 0;
-  const ssize_t got = recv(bufferevent_getfd(bev_.get()), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+  const ssize_t got = recv(bufferevent_getfd(bufferEvent_.get()), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
   return got > 0 || (got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK));
 }
 
@@ -41,11 +41,11 @@
   if (!isUp()) return false;
   const std::string bytes = jsonl::bytesOf(message);
   if (traced) trace(name_, "out", bytes.substr(0, bytes.size() - 1));
-  evbuffer* output = bufferevent_get_output(bev_.get());
+  evbuffer* output = bufferevent_get_output(bufferEvent_.get());
   std::size_t sent = 0;
   if (evbuffer_get_length(output) == 0) {
     const ssize_t put =
-        send(bufferevent_getfd(bev_.get()), bytes.data(), bytes.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
+        send(bufferevent_getfd(bufferEvent_.get()), bytes.data(), bytes.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
     if (put > 0) sent = static_cast<std::size_t>(put);
     if (put < 0 && errno != EAGAIN && errno != EWOULDBLOCK) return false;
   } else if (evbuffer_get_length(output) > unsentMost) {
@@ -55,34 +55,36 @@
   return true;
 }
 
-bool Link::unsent() const { return bev_ && evbuffer_get_length(bufferevent_get_output(bev_.get())) > 0; }
+bool Link::unsent() const {
+  return bufferEvent_ && evbuffer_get_length(bufferevent_get_output(bufferEvent_.get())) > 0;
+}
 
 void Link::close() {
-  if (!bev_) return;
-  bufferevent_setcb(bev_.get(), nullptr, nullptr, nullptr, nullptr);
-  bev_.reset();
+  if (!bufferEvent_) return;
+  bufferevent_setcb(bufferEvent_.get(), nullptr, nullptr, nullptr, nullptr);
+  bufferEvent_.reset();
 }
 
 void Link::end(End how) {
-  if (!bev_) return;
+  if (!bufferEvent_) return;
   trace(name_, "down", std::to_string(static_cast<int>(how)));
   close();
-  ear_.down(*this, how);
+  handler_.onDown(*this, how);
 }
 
 void Link::onRead(bufferevent*, void* me) {
   Link& link = *static_cast<Link*>(me);
-  if (!link.bev_) return;
-  evbuffer* input = bufferevent_get_input(link.bev_.get());
+  if (!link.bufferEvent_) return;
+  evbuffer* input = bufferevent_get_input(link.bufferEvent_.get());
   std::string bytes(evbuffer_get_length(input), '\0');
   evbuffer_remove(input, bytes.data(), bytes.size());
   link.reader_.feed(bytes);
   try {
-    while (link.bev_) {
+    while (link.bufferEvent_) {
       std::optional<jsonl::Message> message = link.reader_.next();
       if (!message) return;
       if (traced) trace(link.name_, "in", jsonl::bytesOf(*message));
-      link.ear_.heard(link, *message);
+      link.handler_.onMessage(link, *message);
     }
   } catch (const jsonl::BadLine&) {
     link.end(End::unreadable);
@@ -91,17 +93,17 @@
 
 void Link::onEvent(bufferevent*, short what, void* me) {
   Link& link = *static_cast<Link*>(me);
-  if (!link.bev_) return;
+  if (!link.bufferEvent_) return;
   if (what & BEV_EVENT_CONNECTED) {
     link.up_ = true;
     trace(link.name_, "up", "");
-    net::noDelay(bufferevent_getfd(link.bev_.get()));
-    return link.ear_.up(link);
+    net::noDelay(bufferevent_getfd(link.bufferEvent_.get()));
+    return link.handler_.onUp(link);
   }
   if (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) {
     const int error = EVUTIL_SOCKET_ERROR();
     onRead(nullptr, me);  // what came before the break still counts
-    if (link.bev_)
+    if (link.bufferEvent_)
       link.end(!link.up_ ? (error == ECONNREFUSED ? End::refused : End::neverUp)
                          : (what & BEV_EVENT_EOF ? End::closed : End::broken));
   }
--- a/src/platform/link.h
+++ b/src/platform/link.h
@@ -14,14 +14,14 @@
 class Link {
  public:
   enum class End { closed, broken, refused, neverUp, unreadable };
-  struct Ear {
-    virtual ~Ear() = default;
-    virtual void up(Link& link) = 0;
-    virtual void heard(Link& link, jsonl::Message& message) = 0;
-    virtual void down(Link& link, End how) = 0;
+  struct Handler {
+    virtual ~Handler() = default;
+    virtual void onUp(Link& link) = 0;
+    virtual void onMessage(Link& link, jsonl::Message& message) = 0;
+    virtual void onDown(Link& link, End how) = 0;
   };
   // `name`: what the log calls it.
-  Link(Ear& ear, net::Bev bev, bool isUp, std::string name);
+  Link(Handler& handler, net::BufferEvent bufferEvent, bool isUp, std::string name);
   Link(const Link&) = delete;
   virtual ~Link() = default;
 
@@ -30,18 +30,18 @@
   // Whether it is up and the other side has not closed it, as far as this machine knows.
   bool sound();
   void close();  // without telling `down`; what was said before still leaves
-  bool isUp() const { return up_ && bev_; }
+  bool isUp() const { return up_ && bufferEvent_; }
   bool unsent() const;  // something said has not been handed to the machine yet
-  bool midMessage() const { return bev_ && !reader_.empty(); }
-  bool isDead() const { return !bev_; }
+  bool midMessage() const { return bufferEvent_ && !reader_.empty(); }
+  bool isDead() const { return !bufferEvent_; }
 
  private:
   static void onRead(bufferevent*, void* me);
   static void onEvent(bufferevent*, short what, void* me);
   void end(End how);
 
-  Ear& ear_;
-  net::Bev bev_;
+  Handler& handler_;
+  net::BufferEvent bufferEvent_;
   bool up_;
   std::string name_;
   jsonl::Reader reader_;
--- a/src/platform/nodes.cpp
+++ b/src/platform/nodes.cpp
@@ -15,12 +15,15 @@
 
 }  // namespace
 
-struct Nodes::Wire final : Link::Ear {
-  Wire(Nodes& nodes, Node& at, net::Bev bev, std::string name)
-      : owner(nodes), node(at), since(net::unixNow()), link(*this, std::move(bev), false, std::move(name)) {}
-  void up(Link&) override { owner.up(*this); }
-  void heard(Link&, Message& message) override { owner.heard(*this, message); }
-  void down(Link&, Link::End how) override { owner.down(*this, how); }
+struct Nodes::Wire final : Link::Handler {
+  Wire(Nodes& nodes, Node& at, net::BufferEvent bufferEvent, std::string name)
+      : owner(nodes),
+        node(at),
+        since(net::unixNow()),
+        link(*this, std::move(bufferEvent), false, std::move(name)) {}
+  void onUp(Link&) override { owner.up(*this); }
+  void onMessage(Link&, Message& message) override { owner.heard(*this, message); }
+  void onDown(Link&, Link::End how) override { owner.down(*this, how); }
   Nodes& owner;
   Node& node;
   Micros since;                // of connecting, then of the last use
@@ -32,9 +35,9 @@
 };
 
 struct Nodes::Node {
-  Node(const fleet::Box& listed, Micros now) : box(listed), pulse(now) {}
-  fleet::Box box;
-  fleet::Pulse pulse;
+  Node(const fleet::NodeEndpoint& listed, Micros now) : endpoint(listed), pulse(now) {}
+  fleet::NodeEndpoint endpoint;
+  fleet::LivenessCheck pulse;
   bool gone = false;
   std::vector<std::unique_ptr<Wire>> wires;  // the newest last
   std::map<std::string, Join*> joins;        // by their calls' ids
@@ -51,18 +54,19 @@
   Micros beganAt = 0;
 };
 
-Nodes::Nodes(event_base* base, Ear& ear, Bounds bounds) : base_(base), ear_(ear), bounds_(bounds) {}
+Nodes::Nodes(event_base* base, Handler& handler, Limits bounds)
+    : base_(base), handler_(handler), bounds_(bounds) {}
 Nodes::~Nodes() = default;
 
-Nodes::Join* Nodes::find(session::JoinKey key) {
+Nodes::Join* Nodes::find(session::JoinId key) {
   const auto it = joins_.find(key);
   return it == joins_.end() ? nullptr : it->second.get();
 }
 
-Nodes::Node& Nodes::nodeOf(const fleet::Box& box) {
-  auto& slot = nodes_[box.node];
-  if (!slot) slot = std::make_unique<Node>(box, net::unixNow());
-  slot->box = box;
+Nodes::Node& Nodes::nodeOf(const fleet::NodeEndpoint& endpoint) {
+  auto& slot = nodes_[endpoint.node];
+  if (!slot) slot = std::make_unique<Node>(endpoint, net::unixNow());
+  slot->endpoint = endpoint;
   return *slot;
 }
 
@@ -87,13 +91,13 @@
 
 Nodes::Wire* Nodes::open(Node& node) {
   if (wires_ >= bounds_.connections && !makeRoom(node)) return nullptr;
-  ++figures_.connects;
-  net::Bev bev = net::connectTo(base_, node.box.host, node.box.port);
-  if (!bev) return nullptr;
+  ++statistics_.connects;
+  net::BufferEvent bufferEvent = net::connectTo(base_, node.endpoint.host, node.endpoint.port);
+  if (!bufferEvent) return nullptr;
   ++wires_;
   node.wires.push_back(std::make_unique<Wire>(
-      *this, node, std::move(bev),
-      "node-" + std::to_string(node.box.node) + "/" + std::to_string(figures_.connects)));
+      *this, node, std::move(bufferEvent),
+      "node-" + std::to_string(node.endpoint.node) + "/" + std::to_string(statistics_.connects)));
   return node.wires.back().get();
 }
 
@@ -157,35 +161,35 @@
 }
 
 void Nodes::down(Wire& wire, Link::End how) {
-  if (how == Link::End::unreadable) ++figures_.unreadable;
+  if (how == Link::End::unreadable) ++statistics_.unreadable;
   if (how == Link::End::refused || how == Link::End::neverUp) return failed(wire, how == Link::End::refused);
-  ++figures_.lost;
+  ++statistics_.lost;
   Node& node = wire.node;
   const auto waiting = std::exchange(wire.waiting, {});
   const auto open = std::exchange(wire.open, {});
   retire(wire);
   for (Join* join : open) {
-    const session::JoinKey key = join->order.join;
+    const session::JoinId key = join->order.join;
     // It may have run: if so it stands there with nobody behind it.
     const std::string call = join->call.id;
     finish(*join);
     release(node, call);
-    ear_.ended(key, Outcome::reset, {}, false);
+    handler_.joinEnded(key, Outcome::reset, {}, false);
   }
   for (Join* join : waiting) place(*join);
 }
 
 // A connection that never came up: nothing of what waited for it has left.
 void Nodes::failed(Wire& wire, bool refused) {
-  ++figures_.failed;
+  ++statistics_.failed;
   Node& node = wire.node;
   const auto waiting = std::exchange(wire.waiting, {});
   retire(wire);
   node.pulse.failed(refused);
   for (Join* join : waiting) {
-    const session::JoinKey key = join->order.join;
+    const session::JoinId key = join->order.join;
     finish(*join);
-    ear_.ended(key, Outcome::connectFailed, {}, false);
+    handler_.joinEnded(key, Outcome::connectFailed, {}, false);
   }
 }
 
@@ -201,7 +205,7 @@
 }
 
 void Nodes::release(Node& node, const std::string& call) {
-  ++figures_.orphans;
+  ++statistics_.orphans;
   Message message;
   message.op = Op::end;
   message.call = call;
@@ -211,8 +215,8 @@
 
 // ---- orders ----
 
-void Nodes::setUp(const session::SetUp& order, const fleet::Box& box, const Call& call) {
-  Node& node = nodeOf(box);
+void Nodes::setUp(const session::SetUp& order, const fleet::NodeEndpoint& endpoint, const Call& call) {
+  Node& node = nodeOf(endpoint);
   auto made = std::make_unique<Join>();
   Join& join = *made;
   join.order = order;
@@ -228,9 +232,9 @@
   while (true) {
     Wire* wire = pick(node);
     if (wire == nullptr) {
-      const session::JoinKey key = join.order.join;
+      const session::JoinId key = join.order.join;
       finish(join);
-      return ear_.ended(key, Outcome::connectFailed, {}, false);
+      return handler_.joinEnded(key, Outcome::connectFailed, {}, false);
     }
     if (!wire->link.isUp()) {
       wire->waiting.push_back(&join);
@@ -245,17 +249,17 @@
 // A connection found dead before a byte was written: out of use at once. What is open on it hears of that
 // from the loop, in its order with the answers that came before.
 void Nodes::unfit(Wire& wire) {
-  ++figures_.retaken;
+  ++statistics_.retaken;
   wire.spent = true;
   if (wire.open.empty() && wire.waiting.empty()) retire(wire);
 }
 
 void Nodes::write(Join& join, Wire& wire) {
-  const session::JoinKey key = join.order.join;
+  const session::JoinId key = join.order.join;
   Node& node = *join.node;
-  if (!ear_.leaves(key)) {
+  if (!handler_.mayWrite(key)) {
     finish(join);
-    return ear_.ended(key, Outcome::moot, {}, false);
+    return handler_.joinEnded(key, Outcome::notSent, {}, false);
   }
   // An earlier join of this call here may still have its end unsaid: that must not meet the new one.
   std::erase_if(node.unsaid, [&](const Message& message) { return message.call == join.call.id; });
@@ -269,7 +273,7 @@
   message.desc = join.call.desc;
   if (!wire.link.say(message)) {
     finish(join);
-    ear_.ended(key, Outcome::connectFailed, {}, false);
+    handler_.joinEnded(key, Outcome::connectFailed, {}, false);
     // What else is on it ends with it, as by any other break.
     wire.link.close();
     return down(wire, Link::End::broken);
@@ -281,8 +285,8 @@
   node.joins[join.call.id] = &join;
 }
 
-void Nodes::adopt(session::JoinKey key, const fleet::Box& box, const Call& call) {
-  Node& node = nodeOf(box);
+void Nodes::adopt(session::JoinId key, const fleet::NodeEndpoint& endpoint, const Call& call) {
+  Node& node = nodeOf(endpoint);
   auto made = std::make_unique<Join>();
   Join& join = *made;
   join.order.join = key;
@@ -305,7 +309,7 @@
   say(*join->node, message, join->wire);
 }
 
-void Nodes::tearDown(session::JoinKey key) {
+void Nodes::tearDown(session::JoinId key) {
   Join* join = find(key);
   if (join == nullptr) return;
   Node& node = *join->node;
@@ -326,11 +330,11 @@
   }
 }
 
-void Nodes::withdraw(session::JoinKey key) {
+void Nodes::withdraw(session::JoinId key) {
   Join* join = find(key);
   if (join == nullptr || join->written) return;
   finish(*join);
-  ear_.ended(key, Outcome::moot, {}, false);
+  handler_.joinEnded(key, Outcome::notSent, {}, false);
 }
 
 void Nodes::finish(Join& join) {
@@ -350,7 +354,7 @@
   LoadReport report;
   try {
     const auto pairs = jsonl::pairsOf(text);
-    for (const auto& [name, into] : terms::reported)
+    for (const auto& [name, into] : control_settings::reported)
       if (const auto it = pairs.find(name); it != pairs.end())
         if (const auto real = jsonl::realOf(it->second, 0, 1e6)) report.*into = *real;
   } catch (const jsonl::BadLine&) {
@@ -366,24 +370,24 @@
   const auto it = node.joins.find(message.call);
   // Extra copies, and what belongs to nobody, are passed over.
   if (it == node.joins.end()) {
-    ++figures_.passedOver;
+    ++statistics_.passedOver;
     return;
   }
   Join& join = *it->second;
-  const session::JoinKey key = join.order.join;
+  const session::JoinId key = join.order.join;
   if (message.op == Op::accept) {
-    if (join.began || join.wire != &wire) return void(++figures_.passedOver);
+    if (join.began || join.wire != &wire) return void(++statistics_.passedOver);
     if (!message.desc || message.desc->empty()) return wire.link.close(), down(wire, Link::End::unreadable);
     join.began = true;
     join.beganAt = net::unixNow();
     std::erase(wire.open, &join);
     wire.standing.push_back(&join);
-    ear_.began(key, *message.desc);
+    handler_.joinStarted(key, *message.desc);
     if (wire.spent && wire.open.empty()) retire(wire);
     return;
   }
   if (message.op == Op::end) {
-    if (!join.began && join.wire != &wire) return void(++figures_.passedOver);
+    if (!join.began && join.wire != &wire) return void(++statistics_.passedOver);
     const std::string* load = message.find("load");
     const LoadReport report = load == nullptr ? LoadReport{} : reportOf(*load);
     const bool began = join.began;
@@ -394,19 +398,19 @@
       reply.call = message.call;
       wire.link.say(reply);
       const bool finished = message.why == cause::over;
-      ear_.ended(key,
-                 finished                          ? Outcome::ok
-                 : message.why == cause::cancelled ? Outcome::cancelled
-                                                   : Outcome::reset,
-                 report, finished);
+      handler_.joinEnded(key,
+                         finished                          ? Outcome::ok
+                         : message.why == cause::cancelled ? Outcome::cancelled
+                                                           : Outcome::reset,
+                         report, finished);
     } else {
       const int why = message.why;
-      ear_.ended(key,
-                 why == cause::full    ? Outcome::full
-                 : why == cause::error ? Outcome::error
-                 : why == cause::moot  ? Outcome::moot
-                                       : Outcome::reset,
-                 report, false);
+      handler_.joinEnded(key,
+                         why == cause::full      ? Outcome::full
+                         : why == cause::error   ? Outcome::error
+                         : why == cause::notSent ? Outcome::notSent
+                                                 : Outcome::reset,
+                         report, false);
       if (wire.spent && wire.open.empty()) retire(wire);
     }
     return;
@@ -417,10 +421,10 @@
     if (value == nullptr || note == nullptr) return;
     const auto real = jsonl::realOf(*value, 0, 1e6);
     if (!real) return;
-    if (*note == "fill") ear_.noted(key, Reading::delivered, *real);
-    if (*note == "grade") ear_.noted(key, Reading::rung, *real);
-    if (*note == "local") ear_.noted(key, Reading::link, *real);
-    if (*note == "upstream") ear_.noted(key, Reading::uplink, *real);
+    if (*note == "fill") handler_.measured(key, MeasurementKind::delivered, *real);
+    if (*note == "grade") handler_.measured(key, MeasurementKind::rung, *real);
+    if (*note == "local") handler_.measured(key, MeasurementKind::link, *real);
+    if (*note == "upstream") handler_.measured(key, MeasurementKind::uplink, *real);
   }
 }
 
@@ -432,27 +436,27 @@
   for (const auto& [call, join] : node.joins)
     if (join->began && join->beganAt < before) over.push_back(join);
   for (Join* join : over) {
-    const session::JoinKey key = join->order.join;
+    const session::JoinId key = join->order.join;
     finish(*join);
-    ear_.ended(key, Outcome::reset, {}, false);
+    handler_.joinEnded(key, Outcome::reset, {}, false);
   }
 }
 
 void Nodes::listed(const fleet::Membership& membership, Micros now) {
   std::map<std::pair<std::string, int>, NodeId> places;
-  for (const auto& [id, box] : membership.boxes()) places[{box.host, box.port}] = id;
+  for (const auto& [id, endpoint] : membership.endpoints()) places[{endpoint.host, endpoint.port}] = id;
   for (auto& [id, node] : nodes_) {
-    const fleet::Box* box = membership.find(id);
-    node->gone = box == nullptr;
-    const auto place = places.find({node->box.host, node->box.port});
+    const fleet::NodeEndpoint* endpoint = membership.find(id);
+    node->gone = endpoint == nullptr;
+    const auto place = places.find({node->endpoint.host, node->endpoint.port});
     // Another has its place: whatever stood there is over, and nothing of it can be told any more.
-    if (box == nullptr && place != places.end()) {
+    if (endpoint == nullptr && place != places.end()) {
       endStanding(*node, now + 1);
       node->unsaid.clear();
     }
-    if (box == nullptr) continue;
-    if (box->readyAt > node->box.readyAt) endStanding(*node, box->readyAt);
-    node->box = *box;
+    if (endpoint == nullptr) continue;
+    if (endpoint->readyAt > node->endpoint.readyAt) endStanding(*node, endpoint->readyAt);
+    node->endpoint = *endpoint;
   }
 }
 
@@ -468,13 +472,13 @@
     bool linked = false, trying = false;
     for (const auto& wire : node->wires) (wire->link.isUp() ? linked : trying) = true;
     switch (node->pulse.look(now, linked, trying)) {
-      case fleet::Pulse::Verdict::fine:
+      case fleet::LivenessCheck::Verdict::alive:
         break;
-      case fleet::Pulse::Verdict::tryIt:
+      case fleet::LivenessCheck::Verdict::probe:
         open(*node);
         break;
-      case fleet::Pulse::Verdict::over:
-        ++figures_.vanished;
+      case fleet::LivenessCheck::Verdict::dead:
+        ++statistics_.vanished;
         endStanding(*node, now + 1);
         node->unsaid.clear();
         break;
@@ -499,12 +503,12 @@
   return true;
 }
 
-Nodes::Figures Nodes::figures() const {
-  Figures figures = figures_;
-  figures.connections = wires_;
-  figures.joins = joins_.size();
-  figures.nodes = nodes_.size();
-  return figures;
+Nodes::Statistics Nodes::statistics() const {
+  Statistics statistics = statistics_;
+  statistics.connections = wires_;
+  statistics.joins = joins_.size();
+  statistics.nodes = nodes_.size();
+  return statistics;
 }
 
 }  // namespace lupinsill::platform
--- a/src/platform/nodes.h
+++ b/src/platform/nodes.h
@@ -13,8 +13,8 @@
 #include <string>
 #include <vector>
 
+#include "fleet/liveness_check.h"
 #include "fleet/membership.h"
-#include "fleet/pulse.h"
 #include "net/handles.h"
 #include "platform/link.h"
 #include "platform/viewers.h"
@@ -24,32 +24,33 @@
 
 class Nodes {
  public:
-  struct Ear {
-    virtual ~Ear() = default;
+  struct Handler {
+    virtual ~Handler() = default;
     // Asked as a join is about to be written; false: it is not, and has ended as moot.
-    virtual bool leaves(session::JoinKey join) = 0;
-    virtual void began(session::JoinKey join, const std::string& desc) = 0;
-    virtual void ended(session::JoinKey join, Outcome outcome, const LoadReport& report, bool finished) = 0;
-    virtual void noted(session::JoinKey join, Reading reading, double value) = 0;
+    virtual bool mayWrite(session::JoinId join) = 0;
+    virtual void joinStarted(session::JoinId join, const std::string& desc) = 0;
+    virtual void joinEnded(session::JoinId join, Outcome outcome, const LoadReport& report,
+                           bool finished) = 0;
+    virtual void measured(session::JoinId join, MeasurementKind reading, double value) = 0;
   };
-  struct Bounds {
+  struct Limits {
     std::size_t connections = 0;
     Micros connect = 0;
   };
-  struct Figures {
+  struct Statistics {
     std::uint64_t connects = 0, failed = 0, lost = 0, unreadable = 0, passedOver = 0, orphans = 0,
                   vanished = 0, retaken = 0;
     std::size_t connections = 0, joins = 0, nodes = 0;
   };
 
-  Nodes(event_base* base, Ear& ear, Bounds bounds);
+  Nodes(event_base* base, Handler& handler, Limits bounds);
   ~Nodes();
 
-  void setUp(const session::SetUp& order, const fleet::Box& box, const Call& call);
-  void adopt(session::JoinKey join, const fleet::Box& box, const Call& call);
+  void setUp(const session::SetUp& order, const fleet::NodeEndpoint& endpoint, const Call& call);
+  void adopt(session::JoinId join, const fleet::NodeEndpoint& endpoint, const Call& call);
   void change(const session::ChangeRung& order);
-  void tearDown(session::JoinKey join);
-  void withdraw(session::JoinKey join);
+  void tearDown(session::JoinId join);
+  void withdraw(session::JoinId join);
   // After each change of the list: nodes that went, started anew, or whose place another has taken.
   void listed(const fleet::Membership& membership, Micros now);
   // After each turn: joins whose connection has come up.
@@ -58,13 +59,13 @@
   // Whether all that can be said to nodes has been handed to the machine; what waits for a node that takes no
   // connection can't.
   bool settled() const;
-  Figures figures() const;
+  Statistics statistics() const;
 
  private:
   struct Node;
   struct Wire;
   struct Join;
-  Node& nodeOf(const fleet::Box& box);
+  Node& nodeOf(const fleet::NodeEndpoint& endpoint);
   Wire* open(Node& node);
   Wire* pick(Node& node);
   bool makeRoom(const Node& wanting);
@@ -80,17 +81,17 @@
   void release(Node& node, const std::string& call);
   void finish(Join& join);
   void endStanding(Node& node, Micros before);
-  Join* find(session::JoinKey key);
+  Join* find(session::JoinId key);
 
   event_base* base_;
-  Ear& ear_;
-  Bounds bounds_;
+  Handler& handler_;
+  Limits bounds_;
   std::map<NodeId, std::unique_ptr<Node>> nodes_;
-  std::map<session::JoinKey, std::unique_ptr<Join>> joins_;
+  std::map<session::JoinId, std::unique_ptr<Join>> joins_;
   std::size_t wires_ = 0;
   bool cameUp_ = false;
   std::vector<std::unique_ptr<Wire>> dead_;
-  Figures figures_;
+  Statistics statistics_;
 };
 
 LoadReport reportOf(const std::string& text);
--- a/src/platform/run.cpp
+++ b/src/platform/run.cpp
@@ -14,14 +14,14 @@
 #include <utility>
 
 #include "director/log.h"
-#include "fleet/inquiry.h"
+#include "discovery/dns.h"
+#include "fleet/list_poller.h"
 #include "fleet/membership.h"
-#include "fleet/numbering.h"
+#include "fleet/node_id_registry.h"
 #include "net/handles.h"
 #include "platform/configuration.h"
 #include "platform/nodes.h"
 #include "platform/viewers.h"
-#include "roster/dns.h"
 #include "session/front.h"
 
 namespace lupinsill::platform {
@@ -47,31 +47,31 @@
 constexpr double leastKept = 0.1;
 constexpr std::size_t spareSockets = 24;  // of the loop, the name server, the log, and what is being closed
 
-class Director final : public Viewers::Ear, public Nodes::Ear {
+class Director final : public Viewers::Handler, public Nodes::Handler {
  public:
   Director(const std::string& file, const std::string& logLevel);
   int loop();
 
  private:
-  void asked(Call& call, session::Ask ask) override;
-  void adopted(Call& call, session::Ask ask, const std::string& node) override;
-  void left(const Call& call) override { front_.leave(call.line), joinOf_.erase(call.line); }
-  bool ready() override { return !stopping_ && !membership_.boxes().empty(); }
-  bool leaves(session::JoinKey join) override { return front_.leaves(net::unixNow(), join); }
-  void began(session::JoinKey join, const std::string& desc) override;
-  void ended(session::JoinKey join, Outcome outcome, const LoadReport& report, bool finished) override {
+  void onRequest(Call& call, session::PlayRequest ask) override;
+  void onAdopted(Call& call, session::PlayRequest ask, const std::string& node) override;
+  void onLeave(const Call& call) override { front_.leave(call.callId), joinOf_.erase(call.callId); }
+  bool ready() override { return !stopping_ && !membership_.endpoints().empty(); }
+  bool mayWrite(session::JoinId join) override { return front_.mayWrite(net::unixNow(), join); }
+  void joinStarted(session::JoinId join, const std::string& desc) override;
+  void joinEnded(session::JoinId join, Outcome outcome, const LoadReport& report, bool finished) override {
     descs_.erase(join);
-    front_.ended(join, outcome, report, finished);
+    front_.joinEnded(join, outcome, report, finished);
   }
-  void noted(session::JoinKey join, Reading reading, double value) override {
-    front_.noted(join, reading, value);
+  void measured(session::JoinId join, MeasurementKind reading, double value) override {
+    front_.measured(join, reading, value);
   }
 
-  void carry(const session::Order& order);
+  void carry(const session::Command& order);
   void turn();
-  fleet::Word wordOf(std::uint64_t version, const std::vector<roster::Row>& rows);
-  void taken(Micros now, fleet::Taken taken, ListTold told);
-  void resolve(const Place& resolver);
+  fleet::NodeList wordOf(std::uint64_t version, const std::vector<discovery::Row>& rows);
+  void taken(Micros now, fleet::UpdateResult taken, ListUpdate told);
+  void resolve(const HostPort& resolver);
   void askForList(Micros now);
   void heardList();
   void reload();
@@ -83,9 +83,9 @@
 
   std::string file_;
   Configuration told_;
-  net::Base base_;
+  net::EventBase base_;
   fleet::Membership membership_;
-  fleet::Inquiry inquiry_;
+  fleet::ListPoller listPoller_;
   session::Front front_;
   Nodes nodes_;
   std::unique_ptr<Viewers> viewers_;
@@ -99,10 +99,10 @@
       fd = next;
     }
   } list_;
-  fleet::Numbering numbering_;
-  std::map<session::JoinKey, std::string> descs_;  // of joins that began, until their viewers are told
-  std::map<session::Line, session::JoinKey> joinOf_;
-  std::vector<session::Order> orders_;
+  fleet::NodeIdRegistry numbering_;
+  std::map<session::JoinId, std::string> descs_;  // of joins that began, until their viewers are told
+  std::map<session::CallId, session::JoinId> joinOf_;
+  std::vector<session::Command> orders_;
   Micros housedAt_ = 0;
   Micros shownAt_ = 0;
   Micros stopAt_ = 0;      // it ends from here on, once nothing is owed
@@ -111,15 +111,15 @@
   bool stopping_ = false;
 };
 
-session::Bounds boundsOf(const Configuration& told) {
-  session::Bounds bounds;
+session::Limits boundsOf(const Configuration& told) {
+  session::Limits bounds;
   bounds.grace = told.grace;
   bounds.answerMargin = 10'000;  // the way of an answer to its viewer
-  bounds.standstill = 300'000;
-  bounds.openMost = 4'000;
-  bounds.keysMost = 1'000;  // no set-up here has a key of its own: none is ever remembered
-  bounds.playsMost = 50'000;
-  bounds.leastLeft = 0;
+  bounds.stallThreshold = 300'000;
+  bounds.maxOpen = 4'000;
+  bounds.maxKeys = 1'000;  // no set-up here has a key of its own: none is ever remembered
+  bounds.maxSubscriptions = 50'000;
+  bounds.minTimeLeft = 0;
   return bounds;
 }
 
@@ -131,16 +131,17 @@
       told_(readConfiguration(file)),
       base_(event_base_new()),
       membership_(told_.terms.cells, leastKept, told_.grace),
-      inquiry_(told_.seed),
-      front_(told_.terms, boundsOf(told_), std::make_unique<session::ByControl>(told_.terms, told_.seed)),
+      listPoller_(told_.seed),
+      front_(told_.terms, boundsOf(told_),
+             std::make_unique<session::ControlDecider>(told_.terms, told_.seed)),
       nodes_(base_.get(), *this,
              {told_.sockets - spareSockets - forViewers(told_.sockets), told_.connectTime}) {
   director::setUpLog(logLevel, "text", told_.name);
   traceMessages(logLevel == "debug");
-  front_.told(membership_.startFrom(wordOf(told_.listNumber, told_.known)));
+  front_.listUpdated(membership_.restore(wordOf(told_.listNumber, told_.known)));
   resolve(told_.resolver);
   viewers_ = std::make_unique<Viewers>(base_.get(), *this, told_.listen.host, told_.listen.port, told_.names,
-                                       told_.terms, Viewers::Bounds{forViewers(told_.sockets)});
+                                       told_.terms, Viewers::Limits{forViewers(told_.sockets)});
   wake_.reset(event_new(base_.get(), -1, 0, onWake, nullptr));
   for (const int signal : {SIGTERM, SIGINT, SIGHUP}) {
     signals_.emplace_back(evsignal_new(base_.get(), signal, onSignal, this));
@@ -148,43 +149,44 @@
   }
   std::signal(SIGPIPE, SIG_IGN);
   log(Level::info, "listening",
-      {{"port", std::to_string(viewers_->port())}, {"nodes", std::to_string(membership_.boxes().size())}});
+      {{"port", std::to_string(viewers_->port())},
+       {"nodes", std::to_string(membership_.endpoints().size())}});
 }
 
 // ---- the list ----
 
-fleet::Word Director::wordOf(std::uint64_t version, const std::vector<roster::Row>& rows) {
-  fleet::Word word;
+fleet::NodeList Director::wordOf(std::uint64_t version, const std::vector<discovery::Row>& rows) {
+  fleet::NodeList word;
   word.version = version;
-  for (const roster::Row& row : rows) {
-    fleet::Box box;
-    box.node = numbering_.of(row.name);
-    box.host = row.host;
-    box.port = row.port;
-    box.state = row.draining ? NodeState::draining : NodeState::ready;
-    box.kind = terms::placeOf(told_.names.kinds, row.kind);
-    box.cell = row.cell;
-    box.weight = row.weight;
-    box.zone = row.zone;
-    box.readyAt = row.startedMs * 1000;
-    word.boxes.push_back(std::move(box));
+  for (const discovery::Row& row : rows) {
+    fleet::NodeEndpoint endpoint;
+    endpoint.node = numbering_.idOf(row.name);
+    endpoint.host = row.host;
+    endpoint.port = row.port;
+    endpoint.state = row.draining ? NodeState::draining : NodeState::ready;
+    endpoint.kind = control_settings::placeOf(told_.names.kinds, row.kind);
+    endpoint.cell = row.cell;
+    endpoint.weight = row.weight;
+    endpoint.zone = row.zone;
+    endpoint.readyAt = row.startedMs * 1000;
+    word.endpoints.push_back(std::move(endpoint));
   }
   return word;
 }
 
-void Director::taken(Micros now, fleet::Taken taken, ListTold told) {
-  numbering_.keep(membership_.boxes());
-  if (taken != fleet::Taken::applied && taken != fleet::Taken::tooMuchGone) return;
+void Director::taken(Micros now, fleet::UpdateResult taken, ListUpdate told) {
+  numbering_.retain(membership_.endpoints());
+  if (taken != fleet::UpdateResult::applied && taken != fleet::UpdateResult::tooMuchGone) return;
   log(Level::debug, "list",
       {{"version", std::to_string(membership_.version())},
        {"changes", std::to_string(told.entries.size())},
        {"taken", nameOf(taken)}});
   nodes_.listed(membership_, now);
-  if (!told.entries.empty() || told.kind == ListKind::total) front_.told(std::move(told));
+  if (!told.entries.empty() || told.kind == ListKind::snapshot) front_.listUpdated(std::move(told));
 }
 
 // The old socket goes only once the new one stands: without one no list would ever come again.
-void Director::resolve(const Place& resolver) {
+void Director::resolve(const HostPort& resolver) {
   Descriptor next;
   next.reset(socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   sockaddr_in address{};
@@ -196,14 +198,14 @@
     return log(Level::error, "resolver-unusable", {{"address", resolver.host}});
   listEvent_.reset();
   list_.reset(std::exchange(next.fd, -1));
-  inquiry_.moved(net::unixNow());
+  listPoller_.serverMoved(net::unixNow());
   listEvent_.reset(event_new(base_.get(), list_.fd, EV_READ | EV_PERSIST, onList, this));
   event_add(listEvent_.get(), nullptr);
 }
 
 void Director::askForList(Micros now) {
-  if (now < inquiry_.due()) return;
-  const std::string question = roster::question(inquiry_.ask(now), service);
+  if (now < listPoller_.due()) return;
+  const std::string question = discovery::question(listPoller_.nextQuery(now), service);
   // One that does not leave is asked again like one that is lost.
   if (send(list_.fd, question.data(), question.size(), MSG_DONTWAIT) < 0) return;
 }
@@ -213,54 +215,54 @@
   while (true) {
     const ssize_t size = recv(list_.fd, bytes.data(), bytes.size(), MSG_DONTWAIT);
     if (size < 0) return;
-    const auto answer = roster::read({bytes.data(), static_cast<std::size_t>(size)}, service);
-    if (!answer || !inquiry_.expects(answer->number)) continue;
+    const auto answer = discovery::read({bytes.data(), static_cast<std::size_t>(size)}, service);
+    if (!answer || !listPoller_.expects(answer->number)) continue;
     const Micros now = net::unixNow();
-    ListTold told;
-    const fleet::Taken outcome = membership_.apply(now, wordOf(answer->serial, answer->rows), told);
-    if (outcome != fleet::Taken::older) inquiry_.heard(now);
+    ListUpdate told;
+    const fleet::UpdateResult outcome = membership_.apply(now, wordOf(answer->serial, answer->rows), told);
+    if (outcome != fleet::UpdateResult::older) listPoller_.answered(now);
     taken(now, outcome, std::move(told));
   }
 }
 
 // ---- set-ups and answers ----
 
-void Director::asked(Call&, session::Ask ask) { front_.ask(std::move(ask)); }
+void Director::onRequest(Call&, session::PlayRequest ask) { front_.submit(std::move(ask)); }
 
-void Director::adopted(Call& call, session::Ask ask, const std::string& node) {
+void Director::onAdopted(Call& call, session::PlayRequest ask, const std::string& node) {
   const std::optional<NodeId> number = numbering_.find(node);
-  const fleet::Box* box = number ? membership_.find(*number) : nullptr;
-  if (box == nullptr) return viewers_->ended(call.line, false);  // it went with its node
-  const session::JoinKey join = front_.adopt(std::move(ask), box->node);
-  nodes_.adopt(join, *box, call);
+  const fleet::NodeEndpoint* endpoint = number ? membership_.find(*number) : nullptr;
+  if (endpoint == nullptr) return viewers_->ended(call.callId, false);  // it went with its node
+  const session::JoinId join = front_.adopt(std::move(ask), endpoint->node);
+  nodes_.adopt(join, *endpoint, call);
 }
 
-void Director::began(session::JoinKey join, const std::string& desc) {
+void Director::joinStarted(session::JoinId join, const std::string& desc) {
   descs_[join] = desc;
-  front_.began(join);
+  front_.joinStarted(join);
 }
 
-void Director::carry(const session::Order& order) {
+void Director::carry(const session::Command& order) {
   if (const auto* playing = std::get_if<session::Playing>(&order)) {
-    const auto join = joinOf_.find(playing->line);
-    if (join != joinOf_.end()) viewers_->playing(playing->line, descs_[join->second]);
+    const auto join = joinOf_.find(playing->callId);
+    if (join != joinOf_.end()) viewers_->playing(playing->callId, descs_[join->second]);
     if (join != joinOf_.end()) descs_.erase(join->second);
   } else if (const auto* throttled = std::get_if<session::Throttled>(&order)) {
-    viewers_->throttled(throttled->line, throttled->retryAfter);
-    joinOf_.erase(throttled->line);
+    viewers_->throttled(throttled->callId, throttled->retryAfter);
+    joinOf_.erase(throttled->callId);
   } else if (const auto* terminated = std::get_if<session::Terminated>(&order)) {
-    viewers_->terminated(terminated->line);
-    joinOf_.erase(terminated->line);
+    viewers_->terminated(terminated->callId);
+    joinOf_.erase(terminated->callId);
   } else if (const auto* end = std::get_if<session::Ended>(&order)) {
-    viewers_->ended(end->line, end->why == session::WhyEnded::finished);
-    joinOf_.erase(end->line);
+    viewers_->ended(end->callId, end->reason == session::EndReason::finished);
+    joinOf_.erase(end->callId);
   } else if (const auto* setUp = std::get_if<session::SetUp>(&order)) {
-    const fleet::Box* box = membership_.find(setUp->node);
-    const Call* call = viewers_->find(setUp->line);
-    if (call == nullptr) return front_.ended(setUp->join, Outcome::moot, {}, false);
-    if (box == nullptr) return front_.ended(setUp->join, Outcome::connectFailed, {}, false);
-    joinOf_[setUp->line] = setUp->join;
-    nodes_.setUp(*setUp, *box, *call);
+    const fleet::NodeEndpoint* endpoint = membership_.find(setUp->node);
+    const Call* call = viewers_->find(setUp->callId);
+    if (call == nullptr) return front_.joinEnded(setUp->join, Outcome::notSent, {}, false);
+    if (endpoint == nullptr) return front_.joinEnded(setUp->join, Outcome::connectFailed, {}, false);
+    joinOf_[setUp->callId] = setUp->join;
+    nodes_.setUp(*setUp, *endpoint, *call);
   } else if (const auto* change = std::get_if<session::ChangeRung>(&order)) {
     nodes_.change(*change);
   } else if (const auto* down = std::get_if<session::TearDown>(&order)) {
@@ -268,8 +270,8 @@
     nodes_.tearDown(down->join);
   } else if (const auto* withdraw = std::get_if<session::Withdraw>(&order)) {
     nodes_.withdraw(withdraw->join);
-  } else if (std::holds_alternative<session::FollowTheList>(order)) {
-    inquiry_.moved(net::unixNow());
+  } else if (std::holds_alternative<session::StartListWatch>(order)) {
+    listPoller_.serverMoved(net::unixNow());
   }
 }
 
@@ -277,8 +279,8 @@
   const Micros now = net::unixNow();
   if (now < front_.due()) return;
   orders_.clear();
-  front_.turn(now, orders_);
-  for (const session::Order& order : orders_) carry(order);
+  front_.processTurn(now, orders_);
+  for (const session::Command& order : orders_) carry(order);
 }
 
 // ---- the process ----
@@ -292,7 +294,7 @@
   director.stopAt_ = now + lingers;
   const Micros longest = director.told_.longestTimeout;
   director.goneAt_ = now + (longest > 0 ? std::min(longest, longestCounted) : longestCounted) + killedAfter;
-  director.front_.answerBy(director.goneAt_ - lastWay);
+  director.front_.setAnswerDeadline(director.goneAt_ - lastWay);
   log(Level::info, "stopping");
 }
 
@@ -304,21 +306,21 @@
     // is.
     if (next.listNumber > membership_.version()) {
       const Micros now = net::unixNow();
-      ListTold told;
-      const fleet::Taken outcome = membership_.apply(now, wordOf(next.listNumber, next.known), told);
+      ListUpdate told;
+      const fleet::UpdateResult outcome = membership_.apply(now, wordOf(next.listNumber, next.known), told);
       taken(now, outcome, std::move(told));
     }
     log(Level::info, "reloaded",
         {{"resolver", next.resolver.host + ":" + std::to_string(next.resolver.port)}});
-  } catch (const terms::BadInput& bad) {
+  } catch (const control_settings::InvalidInput& bad) {
     log(Level::error, "reload-refused", {{"why", bad.what()}});
   }
 }
 
 void Director::showFigures(Level level) {
-  const session::Figures f = front_.figures();
-  const Viewers::Figures v = viewers_->figures();
-  const Nodes::Figures n = nodes_.figures();
+  const session::Statistics f = front_.statistics();
+  const Viewers::Statistics v = viewers_->statistics();
+  const Nodes::Statistics n = nodes_.statistics();
   std::string held;
   for (std::size_t i = 0; i < session::ruleCount; ++i)
     if (f.held[i] != 0)
@@ -335,7 +337,7 @@
        {"open", text(f.open)},
        {"plays", text(f.plays)},
        {"held", held},
-       {"late", text(f.standstills)},
+       {"late", text(f.stalls)},
        {"peers", text(v.connections)},
        {"calls", text(v.calls)},
        {"useless", text(v.useless)},
@@ -358,7 +360,7 @@
 // Nothing may be owed as it ends: no answer, no byte of one, no end that a viewer or a node has not been
 // told.
 bool Director::mayEnd(Micros now) {
-  const bool quiet = front_.figures().open == 0 && viewers_->settled() && nodes_.settled();
+  const bool quiet = front_.statistics().open == 0 && viewers_->settled() && nodes_.settled();
   if (!quiet) quietSince_ = 0;
   if (quiet && quietSince_ == 0) quietSince_ = now;
   return now >= goneAt_ || (quiet && now >= stopAt_ && now - quietSince_ >= staysQuiet);
@@ -367,7 +369,7 @@
 int Director::loop() {
   Micros last = net::unixNow();
   while (true) {
-    const Micros due = std::min({front_.due(), housedAt_ + housekeeping, inquiry_.due()});
+    const Micros due = std::min({front_.due(), housedAt_ + housekeeping, listPoller_.due()});
     const Micros wait = std::max<Micros>(0, due - net::unixNow());
     const timeval span{static_cast<time_t>(wait / 1'000'000), static_cast<suseconds_t>(wait % 1'000'000)};
     event_add(wake_.get(), &span);
@@ -382,9 +384,9 @@
     askForList(last);
     if (last - housedAt_ >= housekeeping) {
       housedAt_ = last;
-      if (ListTold gone = membership_.confirm(last); !gone.entries.empty()) {
+      if (ListUpdate gone = membership_.confirmRemovals(last); !gone.entries.empty()) {
         log(Level::warn, "list-confirmed", {{"gone", std::to_string(gone.entries.size())}});
-        taken(last, fleet::Taken::applied, std::move(gone));
+        taken(last, fleet::UpdateResult::applied, std::move(gone));
       }
       nodes_.tick(last);
       viewers_->tick(last);
--- a/src/platform/run.h
+++ b/src/platform/run.h
@@ -8,8 +8,8 @@
 
 namespace lupinsill::platform {
 
-// Runs until SIGTERM has been followed; throws terms::BadInput or net::CannotListen where it can't start.
-// `logLevel`: error, warn, info or debug; debug shows every message.
+// Runs until SIGTERM has been followed; throws control_settings::InvalidInput or net::ListenError where it
+// can't start. `logLevel`: error, warn, info or debug; debug shows every message.
 int run(const std::string& configurationFile, const std::string& logLevel);
 
 }  // namespace lupinsill::platform
--- a/src/platform/viewers.cpp
+++ b/src/platform/viewers.cpp
@@ -17,24 +17,24 @@
 
 }  // namespace
 
-struct Viewers::Peer final : Link::Ear {
-  Peer(Viewers& viewers, std::uint64_t number, net::Bev bev)
+struct Viewers::Peer final : Link::Handler {
+  Peer(Viewers& viewers, std::uint64_t number, net::BufferEvent bufferEvent)
       : owner(viewers),
         id(number),
         since(net::unixNow()),
-        link(*this, std::move(bev), true, "viewer-" + std::to_string(number)) {}
-  void up(Link&) override {}
-  void heard(Link&, Message& message) override { owner.heard(*this, message); }
-  void down(Link&, Link::End how) override {
-    if (how == Link::End::unreadable) ++owner.figures_.unreadable;
+        link(*this, std::move(bufferEvent), true, "viewer-" + std::to_string(number)) {}
+  void onUp(Link&) override {}
+  void onMessage(Link&, Message& message) override { owner.heard(*this, message); }
+  void onDown(Link&, Link::End how) override {
+    if (how == Link::End::unreadable) ++owner.statistics_.unreadable;
     owner.down(*this);
   }
   Viewers& owner;
   std::uint64_t id;
-  Micros since;                                   // of accepting, then of the last use
-  bool proven = false;                            // has brought something of use
-  std::map<session::Line, Held*> open, standing;  // in the order they came
-  std::map<std::string, Release> unheard;         // said here, and not acknowledged yet
+  Micros since;                                     // of accepting, then of the last use
+  bool proven = false;                              // has brought something of use
+  std::map<session::CallId, Held*> open, standing;  // in the order they came
+  std::map<std::string, Release> unheard;           // said here, and not acknowledged yet
   Link link;
 };
 
@@ -43,14 +43,14 @@
   Peer* peer = nullptr;  // of its set-up, while that is there
 };
 
-Viewers::Viewers(event_base* base, Ear& ear, const std::string& host, int port, const terms::Names& names,
-                 const Terms& terms, Bounds bounds)
+Viewers::Viewers(event_base* base, Handler& handler, const std::string& host, int port,
+                 const control_settings::Names& names, const ControlSettings& terms, Limits bounds)
     : base_(base),
-      ear_(ear),
+      handler_(handler),
       names_(names),
       terms_(terms),
       bounds_(bounds),
-      comeBack_(terms),
+      retryAfterSchedule_(terms),
       adoptsFor_(bounds.adopting) {
   listener_ = net::listenOn(base, host, port, onAccept, this);
 }
@@ -68,13 +68,13 @@
 // the unproven before the rest, the oldest first, and last those on which something stands, since that
 // belongs to no connection. Media nodes' sockets are never at stake.
 void Viewers::accepted(evutil_socket_t fd) {
-  ++figures_.accepted;
+  ++statistics_.accepted;
   if (peers_.size() >= bounds_.connections) {
     Peer* out = nullptr;
     const auto worth = [](const Peer& peer) { return peer.standing.empty() ? (peer.proven ? 1 : 0) : 2; };
     for (auto& [id, peer] : peers_)
       if (peer->open.empty() && (out == nullptr || worth(*peer) < worth(*out))) out = peer.get();
-    ++figures_.turnedAway;
+    ++statistics_.turnedAway;
     if (out == nullptr) {
       evutil_closesocket(fd);
       return;
@@ -82,10 +82,10 @@
     drop(*out);
   }
   net::noDelay(static_cast<int>(fd));
-  net::Bev bev = net::acceptPlain(base_, fd);
-  if (!bev) return;
+  net::BufferEvent bufferEvent = net::acceptPlain(base_, fd);
+  if (!bufferEvent) return;
   const std::uint64_t id = ++lastPeer_;
-  peers_.emplace(id, std::make_unique<Peer>(*this, id, std::move(bev)));
+  peers_.emplace(id, std::make_unique<Peer>(*this, id, std::move(bufferEvent)));
 }
 
 // Only a connection that has brought something of use hears of ends: who says nothing may be nobody's viewer.
@@ -97,19 +97,19 @@
 
 // What is open on a connection that its viewer closed has been given up; what stands goes on without it.
 void Viewers::down(Peer& peer) {
-  for (const auto& [line, held] : std::exchange(peer.open, {})) {
-    ear_.left(held->call);
+  for (const auto& [callId, held] : std::exchange(peer.open, {})) {
+    handler_.onLeave(held->call);
     held->peer = nullptr;
     forget(*held);
   }
-  for (const auto& [line, held] : std::exchange(peer.standing, {})) held->peer = nullptr;
+  for (const auto& [callId, held] : std::exchange(peer.standing, {})) held->peer = nullptr;
   const auto it = peers_.find(peer.id);
   if (it == peers_.end()) return;
   dead_.push_back(std::move(it->second));
   peers_.erase(it);
   // Guards against a release that met the break of its connection: whoever heard it has acknowledged it.
   for (const auto& [call, release] : std::exchange(peer.unheard, {}))
-    ++figures_.saidAgain, say(release, nullptr);
+    ++statistics_.saidAgain, say(release, nullptr);
 }
 
 void Viewers::drop(Peer& peer) {
@@ -144,7 +144,7 @@
       Message reply;
       reply.op = Op::tested;
       reply.call = message.call;
-      reply.why = ear_.ready() ? cause::passed : 0;
+      reply.why = handler_.ready() ? cause::passed : 0;
       passed_ = passed_ || reply.why == cause::passed;
       peer.link.say(reply);
       return;
@@ -156,7 +156,7 @@
       // What was not answered belongs to its connection: no other may take it back.
       if (!held.call.answered && held.peer != &peer) return useless(peer, message.call);
       const bool stood = held.call.answered;
-      ear_.left(held.call);
+      handler_.onLeave(held.call);
       forget(held);
       if (!stood) return;
       Message reply;
@@ -176,7 +176,7 @@
 // Guards against what no media node could use, floods of it, and the same thing again as soon as it is
 // turned away: one answer, and the connection goes unless it carries something.
 void Viewers::useless(Peer& peer, const std::string& call) {
-  ++figures_.useless;
+  ++statistics_.useless;
   Message reply;
   reply.op = Op::end;
   reply.call = call;
@@ -186,7 +186,7 @@
 }
 
 void Viewers::offered(Peer& peer, const Message& message) {
-  session::Ask ask;
+  session::PlayRequest ask;
   std::string node;
   if (!read(message, ask, node)) return useless(peer, message.call);
   const bool adopting = !node.empty();
@@ -201,12 +201,12 @@
   // nobody ever ends what no node knows.
   if (adopting && adoptsFor_ <= 0) return useless(peer, message.call);
   if (!adopting && peer.open.size() >= bounds_.openPerConnection) {
-    ++figures_.floods;
+    ++statistics_.floods;
     Message reply;
     reply.op = Op::end;
     reply.call = message.call;
     reply.why = cause::full;
-    if (const Micros retryAfter = comeBack_.next(); retryAfter > 0)
+    if (const Micros retryAfter = retryAfterSchedule_.next(); retryAfter > 0)
       reply.with["wait"] = std::to_string(retryAfter / 1000);
     peer.link.say(reply);
     return;
@@ -216,14 +216,14 @@
   Held& held = *made;
   held.peer = &peer;
   held.call = {message.call, ++lastLine_, *message.find("class"), ask.title, *message.desc, adopting};
-  ask.line = held.call.line;
-  (adopting ? peer.standing : peer.open).emplace(held.call.line, &held);
-  lines_[held.call.line] = &held;
+  ask.callId = held.call.callId;
+  (adopting ? peer.standing : peer.open).emplace(held.call.callId, &held);
+  lines_[held.call.callId] = &held;
   calls_.emplace(message.call, std::move(made));
   if (adopting)
-    ear_.adopted(held.call, std::move(ask), node);
+    handler_.onAdopted(held.call, std::move(ask), node);
   else
-    ear_.asked(held.call, std::move(ask));
+    handler_.onRequest(held.call, std::move(ask));
 }
 
 // What stands is named once more. Another description or title under its id is not its viewer's, and gets no
@@ -232,12 +232,12 @@
   const bool same = *message.find("class") == known.call.room && *message.find("key") == known.call.title &&
                     *message.desc == known.call.desc;
   if (same) return proved(peer);
-  ++figures_.useless;
+  ++statistics_.useless;
   if (peer.open.empty() && peer.standing.empty()) drop(peer);
 }
 
 // The numbers of a set-up within what they can mean; the rest is refused whole.
-bool Viewers::read(const Message& message, session::Ask& ask, std::string& node) const {
+bool Viewers::read(const Message& message, session::PlayRequest& ask, std::string& node) const {
   const std::string* room = message.find("class");
   const std::string* title = message.find("key");
   const std::string* left = message.find("left");
@@ -245,9 +245,10 @@
   if (room == nullptr || title == nullptr || title->empty() || extras == nullptr || !message.desc ||
       message.desc->empty())
     return false;
-  ask.roomType = terms::placeOf(names_.roomTypes, *room);
+  ask.roomType = control_settings::placeOf(names_.roomTypes, *room);
   if (ask.roomType < 0) return false;
-  if (const std::string* tenant = message.find("tenant")) ask.party = terms::placeOf(names_.parties, *tenant);
+  if (const std::string* tenant = message.find("tenant"))
+    ask.party = control_settings::placeOf(names_.parties, *tenant);
   ask.title = *title;
   std::map<std::string, std::string> facts;
   try {
@@ -286,18 +287,18 @@
 
 // ---- answers ----
 
-Call* Viewers::find(session::Line line) {
-  const auto it = lines_.find(line);
+Call* Viewers::find(session::CallId callId) {
+  const auto it = lines_.find(callId);
   return it == lines_.end() ? nullptr : &it->second->call;
 }
 
 void Viewers::forget(Held& held) {
   if (held.peer != nullptr) {
-    held.peer->open.erase(held.call.line);
-    held.peer->standing.erase(held.call.line);
+    held.peer->open.erase(held.call.callId);
+    held.peer->standing.erase(held.call.callId);
     held.peer->since = net::unixNow();
   }
-  lines_.erase(held.call.line);
+  lines_.erase(held.call.callId);
   calls_.erase(std::string(held.call.id));
 }
 
@@ -317,8 +318,8 @@
   return true;
 }
 
-void Viewers::playing(session::Line line, const std::string& desc) {
-  const auto it = lines_.find(line);
+void Viewers::playing(session::CallId callId, const std::string& desc) {
+  const auto it = lines_.find(callId);
   if (it == lines_.end()) return;
   Held& held = *it->second;
   Message message;
@@ -327,29 +328,29 @@
   message.desc = desc;
   held.call.answered = true;
   if (held.peer == nullptr) return;
-  held.peer->open.erase(line);
-  held.peer->standing.emplace(line, &held);
+  held.peer->open.erase(callId);
+  held.peer->standing.emplace(callId, &held);
   if (held.peer->link.say(message)) return;
   // Guards against a subscription that plays for nobody: its viewer's connection broke under the answer.
-  ear_.left(held.call);
+  handler_.onLeave(held.call);
   forget(held);
 }
 
-void Viewers::throttled(session::Line line, Micros retryAfter) {
+void Viewers::throttled(session::CallId callId, Micros retryAfter) {
   Message message;
   message.why = cause::full;
   if (retryAfter > 0) message.with["wait"] = std::to_string(retryAfter / 1000);
-  turnAway(line, std::move(message));
+  turnAway(callId, std::move(message));
 }
 
-void Viewers::terminated(session::Line line) {
+void Viewers::terminated(session::CallId callId) {
   Message message;
   message.why = cause::broken;
-  turnAway(line, std::move(message));
+  turnAway(callId, std::move(message));
 }
 
-void Viewers::turnAway(session::Line line, Message message) {
-  const auto it = lines_.find(line);
+void Viewers::turnAway(session::CallId callId, Message message) {
+  const auto it = lines_.find(callId);
   if (it == lines_.end()) return;
   message.op = Op::end;
   message.call = it->second->call.id;
@@ -357,8 +358,8 @@
   forget(*it->second);
 }
 
-void Viewers::ended(session::Line line, bool finished) {
-  const auto it = lines_.find(line);
+void Viewers::ended(session::CallId callId, bool finished) {
+  const auto it = lines_.find(callId);
   if (it == lines_.end()) return;
   Message message;
   message.op = Op::end;
@@ -376,11 +377,11 @@
          });
 }
 
-Viewers::Figures Viewers::figures() const {
-  Figures figures = figures_;
-  figures.connections = peers_.size();
-  figures.calls = calls_.size();
-  return figures;
+Viewers::Statistics Viewers::statistics() const {
+  Statistics statistics = statistics_;
+  statistics.connections = peers_.size();
+  statistics.calls = calls_.size();
+  return statistics;
 }
 
 }  // namespace lupinsill::platform
--- a/src/platform/viewers.h
+++ b/src/platform/viewers.h
@@ -11,31 +11,31 @@
 #include <string>
 #include <vector>
 
+#include "control_settings/control_settings.h"
 #include "net/handles.h"
 #include "platform/link.h"
 #include "session/front.h"
-#include "terms/terms.h"
 
 namespace lupinsill::platform {
 
 // A set-up and what comes of it, from its first message to its release.
 struct Call {
   std::string id;
-  session::Line line = 0;
+  session::CallId callId = 0;
   std::string room, title, desc;
   bool answered = false;
 };
 
 class Viewers {
  public:
-  struct Ear {
-    virtual ~Ear() = default;
-    virtual void asked(Call& call, session::Ask ask) = 0;
-    virtual void adopted(Call& call, session::Ask ask, const std::string& node) = 0;
-    virtual void left(const Call& call) = 0;
+  struct Handler {
+    virtual ~Handler() = default;
+    virtual void onRequest(Call& call, session::PlayRequest ask) = 0;
+    virtual void onAdopted(Call& call, session::PlayRequest ask, const std::string& node) = 0;
+    virtual void onLeave(const Call& call) = 0;
     virtual bool ready() = 0;  // a test is passed
   };
-  struct Bounds {
+  struct Limits {
     std::size_t connections = 0;
     std::size_t openPerConnection = 32;
     Micros silent = 2'300'000;  // a connection that has brought nothing of use is closed then
@@ -45,25 +45,25 @@
     // sockets.
     Micros adopting = 2'000'000;
   };
-  struct Figures {
+  struct Statistics {
     std::uint64_t accepted = 0, turnedAway = 0, useless = 0, unreadable = 0, floods = 0, saidAgain = 0;
     std::size_t connections = 0, calls = 0;
   };
 
-  Viewers(event_base* base, Ear& ear, const std::string& host, int port, const terms::Names& names,
-          const Terms& terms, Bounds bounds);
+  Viewers(event_base* base, Handler& handler, const std::string& host, int port,
+          const control_settings::Names& names, const ControlSettings& terms, Limits bounds);
   ~Viewers();
 
   int port() const;
-  Call* find(session::Line line);
-  void playing(session::Line line, const std::string& desc);
-  void throttled(session::Line line, Micros retryAfter);
-  void terminated(session::Line line);
-  void ended(session::Line line, bool finished);
+  Call* find(session::CallId callId);
+  void playing(session::CallId callId, const std::string& desc);
+  void throttled(session::CallId callId, Micros retryAfter);
+  void terminated(session::CallId callId);
+  void ended(session::CallId callId, bool finished);
   void tick(Micros now);
   // Whether all that was to be said has been handed to the machine, and no message is half in.
   bool settled() const;
-  Figures figures() const;
+  Statistics statistics() const;
 
  private:
   struct Peer;
@@ -72,7 +72,7 @@
   void accepted(evutil_socket_t fd);
   void heard(Peer& peer, jsonl::Message& message);
   void offered(Peer& peer, const jsonl::Message& message);
-  bool read(const jsonl::Message& message, session::Ask& ask, std::string& node) const;
+  bool read(const jsonl::Message& message, session::PlayRequest& ask, std::string& node) const;
   void useless(Peer& peer, const std::string& call);
   void named(Peer& peer, const Held& known, const jsonl::Message& message);
   void down(Peer& peer);
@@ -84,27 +84,27 @@
   void proved(Peer& peer);
   void say(const Release& release, Peer* first);
   static bool tell(Peer& peer, const Release& release);
-  void turnAway(session::Line line, jsonl::Message message);
+  void turnAway(session::CallId callId, jsonl::Message message);
   void forget(Held& held);
 
   event_base* base_;
-  Ear& ear_;
-  terms::Names names_;
-  Terms terms_;
-  Bounds bounds_;
-  ComeBack comeBack_;  // for floods: the times are the module's, spread like its own
+  Handler& handler_;
+  control_settings::Names names_;
+  ControlSettings terms_;
+  Limits bounds_;
+  RetryAfterSchedule retryAfterSchedule_;  // for floods: the times are the module's, spread like its own
   net::Listener listener_;
-  session::Line lastLine_ = 0;
+  session::CallId lastLine_ = 0;
   std::uint64_t lastPeer_ = 0;
   std::map<std::uint64_t, std::unique_ptr<Peer>> peers_;  // in the order they came
   std::vector<std::unique_ptr<Peer>> dead_;
   std::map<std::string, std::unique_ptr<Held>> calls_;
-  std::map<session::Line, Held*> lines_;
+  std::map<session::CallId, Held*> lines_;
   bool passed_ = false;  // a test
   Micros adoptsFor_ = 0;
   Micros tickedAt_ = 0;
   std::deque<Release> unsaid_;  // for which no connection was there
-  Figures figures_;
+  Statistics statistics_;
 };
 
 }  // namespace lupinsill::platform
--- a/src/session/decider.h
+++ b/src/session/decider.h
@@ -16,9 +16,9 @@
   virtual void handle(Micros now, const std::vector<Event>& turn, std::vector<Action>& actions) = 0;
 };
 
-class ByControl final : public Decider {
+class ControlDecider final : public Decider {
  public:
-  ByControl(Terms terms, std::uint64_t seed) : control_(std::move(terms), seed) {}
+  ControlDecider(ControlSettings terms, std::uint64_t seed) : control_(std::move(terms), seed) {}
   void handle(Micros now, const std::vector<Event>& turn, std::vector<Action>& actions) override {
     control_.handle(now, turn, actions);
   }
--- a/src/session/front.h
+++ b/src/session/front.h
@@ -25,14 +25,14 @@
 
 namespace lupinsill::session {
 
-using Line = std::uint64_t;     // one ask on one player's socket; named by the edge, never used again
-using JoinKey = std::uint64_t;  // one join, named by the front, never used again
+using CallId = std::uint64_t;  // one ask on one player's socket; named by the edge, never used again
+using JoinId = std::uint64_t;  // one join, named by the front, never used again
 
-// What a player asks for. `askKey` names the ask: the same key again is the same ask (the answer to the
-// first may have been lost), not another subscription. `viewer` names who watches.
-struct Ask {
-  Line line = 0;
-  std::string askKey;
+// What a player asks for. `idempotencyKey` names the ask: the same key again is the same ask (the answer to
+// the first may have been lost), not another subscription. `viewer` names who watches.
+struct PlayRequest {
+  CallId callId = 0;
+  std::string idempotencyKey;
   std::string viewer;
   std::string title;
   int roomType = 0;
@@ -43,96 +43,96 @@
   Micros timeout = 0;  // the client timeout, from when the ask was sent
   // Whether the player says that this key was sent before: to this director, or to another, which alone knows
   // what became of it.
-  enum class Again { no, here, elsewhere } again = Again::no;
+  enum class Repeat { no, here, elsewhere } repeat = Repeat::no;
   std::optional<Micros> length;
-  std::optional<Micros> againAge = std::nullopt;  // how long before this ask its key was first sent
+  std::optional<Micros> sinceFirstSent = std::nullopt;  // how long before this ask its key was first sent
 };
 
 // How the front is bounded, apart from the terms that the decider reads.
-struct Bounds {
+struct Limits {
   Micros grace = 0;           // rule 3
   Micros answerMargin = 0;    // answers leave so long before the client timeout
-  Micros standstill = 0;      // a gap between turns above it: asks may have waited in the socket so long
-  Micros orphanHold = 0;      // an unsafe subscription whose player is gone waits so long for its return
-  Micros keyMemory = 0;       // how long the key of an unsafe ask is remembered after its end
-  std::size_t openMost = 0;   // asks not answered yet
-  std::size_t keysMost = 0;   // keys remembered
+  Micros stallThreshold = 0;  // a gap between turns above it: asks may have waited in the socket so long
+  Micros orphanTimeout = 0;   // an unsafe subscription whose player is gone waits so long for its return
+  Micros keyRetention = 0;    // how long the key of an unsafe ask is remembered after its end
+  std::size_t maxOpen = 0;    // asks not answered yet
+  std::size_t maxKeys = 0;    // keys remembered
   bool keysStored = false;    // a store stands behind the ledger: intents wait for it
-  std::size_t playsMost = 0;  // subscriptions held in all
-  bool guarded = true;        // off only where the lab plants a fault behind the guards
+  std::size_t maxSubscriptions = 0;  // subscriptions held in all
+  bool guardsEnabled = true;         // off only where the lab plants a fault behind the guards
   // Asks with less time left than this are throttled unheard; 0 leaves that to the decider alone.
-  Micros leastLeft = 60'000;
+  Micros minTimeLeft = 60'000;
 };
 
-enum class WhyThrottled { noRoom, busy, late, draining, unknownTitle };
-enum class WhyTerminated { mayHaveRun, ended, failed, elsewhere };
-enum class WhyEnded { finished, nodeLost, directorDrains };
-const char* nameOf(WhyThrottled why);
-const char* nameOf(WhyTerminated why);
-const char* nameOf(WhyEnded why);
+enum class ThrottleReason { noRoom, busy, late, draining, unknownTitle };
+enum class TerminateReason { mayHaveRun, ended, failed, elsewhere };
+enum class EndReason { finished, nodeLost, directorDrains };
+const char* nameOf(ThrottleReason why);
+const char* nameOf(TerminateReason why);
+const char* nameOf(EndReason why);
 
 // Orders to the players' edge: an ask gets exactly one of the first three.
 struct Playing {
-  Line line;
-  SubId sub;
+  CallId callId;
+  SubscriptionId sub;
   NodeId node;
   int rung;
 };
 struct Throttled {
-  Line line;
+  CallId callId;
   Micros retryAfter;  // 0: no advice
-  WhyThrottled why;
+  ThrottleReason reason;
 };
 struct Terminated {
-  Line line;
-  WhyTerminated why;
+  CallId callId;
+  TerminateReason reason;
 };
-struct RungNow {
-  Line line;
+struct RungChanged {
+  CallId callId;
   int rung;
 };
 struct Ended {
-  Line line;
-  WhyEnded why;
+  CallId callId;
+  EndReason reason;
   Micros retryAfter;
 };
 // Orders to the media edge.
 struct SetUp {
-  JoinKey join;
-  SubId sub;
+  JoinId join;
+  SubscriptionId sub;
   NodeId node;
   int roomType;
   int rung;
   std::string title;
   std::string viewer;
-  std::string askKey;  // the same over all joins of one ask: a node may know a repeat by it
-  Line line;           // of the first that asked
-  Micros until;        // the join is given up on then
+  std::string idempotencyKey;  // the same over all joins of one ask: a node may know a repeat by it
+  CallId callId;               // of the first that asked
+  Micros until;                // the join is given up on then
 };
 struct ChangeRung {
-  JoinKey join;
+  JoinId join;
   int rung;
 };
 struct TearDown {
-  JoinKey join;
+  JoinId join;
 };
-// Give back a join that has not been written yet, as ended with Outcome::moot; pass over one that has.
+// Give back a join that has not been written yet, as ended with Outcome::notSent; pass over one that has.
 struct Withdraw {
-  JoinKey join;
+  JoinId join;
 };
-struct FollowTheList {};
+struct StartListWatch {};
 
-using Order = std::variant<Playing, Throttled, Terminated, RungNow, Ended, SetUp, ChangeRung, TearDown,
-                           Withdraw, FollowTheList>;
+using Command = std::variant<Playing, Throttled, Terminated, RungChanged, Ended, SetUp, ChangeRung, TearDown,
+                             Withdraw, StartListWatch>;
 
 // Counters that only grow, but for the last three.
-struct Figures {
+struct Statistics {
   std::uint64_t asks = 0, playing = 0, throttled = 0, terminated = 0, joins = 0, furtherJoins = 0;
   std::uint64_t repeated = 0;  // asks answered from an earlier one of the same key
   std::uint64_t doubted = 0;   // repeats answered for what a lost record may have said
   std::uint64_t late = 0;      // asks too old when they were read
-  std::uint64_t standstills = 0;
-  std::uint64_t handedBack = 0;  // joins withdrawn before they were written
+  std::uint64_t stalls = 0;
+  std::uint64_t withdrawnJoins = 0;  // joins withdrawn before they were written
   std::uint64_t ended = 0, nodeLost = 0, rungChanges = 0;
   std::array<std::uint64_t, ruleCount> held{};  // by a guard, by rule
   std::size_t open = 0, plays = 0, keys = 0;
@@ -140,21 +140,21 @@
 
 class Front {
  public:
-  Front(Terms terms, Bounds bounds, std::unique_ptr<Decider> decider);
+  Front(ControlSettings terms, Limits bounds, std::unique_ptr<Decider> decider);
 
   // What came in since the last turn, in the order in which it arrived.
-  void ask(Ask ask);
+  void submit(PlayRequest ask);
   // A subscription that was playing at `node` before this run began: it is owed no answer, only its end.
-  JoinKey adopt(Ask ask, NodeId node);
-  void leave(Line line);   // the player said that it leaves
-  void closed(Line line);  // its socket closed; it may come back with the same key
+  JoinId adopt(PlayRequest ask, NodeId node);
+  void leave(CallId callId);   // the player said that it leaves
+  void closed(CallId callId);  // its socket closed; it may come back with the same key
   // The media edge asks as it is about to write a join; once told true it has left, and may run. False: it is
-  // to be given back as ended with Outcome::moot.
-  bool leaves(Micros now, JoinKey join);
-  void began(JoinKey join);
-  void ended(JoinKey join, Outcome outcome, const LoadReport& report, bool finished = false);
-  void noted(JoinKey join, Reading reading, double value);
-  void told(ListTold told);
+  // to be given back as ended with Outcome::notSent.
+  bool mayWrite(Micros now, JoinId join);
+  void joinStarted(JoinId join);
+  void joinEnded(JoinId join, Outcome outcome, const LoadReport& report, bool finished = false);
+  void measured(JoinId join, MeasurementKind reading, double value);
+  void listUpdated(ListUpdate told);
   // What the ledger found at start, and how far its store has come since. See ledger/ledger.h.
   void recover(Micros now, const std::vector<ledger::Record>& records, bool whole) {
     ledger_.recover(now, records, whole);
@@ -166,27 +166,27 @@
   std::vector<ledger::Write> takeWrites() { return ledger_.takeWrites(); }
   void drain(bool on);  // throttles new asks; what plays goes on
   // A director that is going: whatever is asked, before or after this, has its answer by then.
-  void answerBy(Micros at);
+  void setAnswerDeadline(Micros at);
   void endAll();  // tells every player that the director goes, and tears everything down
 
   // Decides on all of that at once and appends what is to be done, in order.
-  void turn(Micros now, std::vector<Order>& orders);
+  void processTurn(Micros now, std::vector<Command>& orders);
 
   // When the next turn is due though nothing comes in.
   Micros due() const;
-  Figures figures() const;
+  Statistics statistics() const;
   bool draining() const { return draining_; }
 
-  struct Shown {  // of a node, for operators
+  struct NodeStatus {  // of a node, for operators
     NodeId node;
     std::size_t waiting, plays;
   };
-  std::vector<Shown> shown() const;
+  std::vector<NodeStatus> nodeStatuses() const;
 
  private:
   struct Request;
   struct JoinOut {
-    JoinKey key = 0;
+    JoinId key = 0;
     Request* request = nullptr;
     NodeId node = 0;
     int number = 0;
@@ -196,13 +196,13 @@
     Micros until = 0;
   };
   struct LineOf {
-    Line line = 0;
+    CallId callId = 0;
     bool answered = false;
   };
   struct Request {
-    SubId id = 0;
-    Ask ask;
-    Micros giveUpAt = 0;
+    SubscriptionId id = 0;
+    PlayRequest ask;
+    Micros deadline = 0;
     std::vector<LineOf> lines;
     bool unsafe = false;
     bool answered = false;    // the one answer has been decided
@@ -215,28 +215,28 @@
     Micros orphanUntil = 0;
   };
   struct CameAsk {
-    Ask ask;
+    PlayRequest ask;
   };
   struct CameAdopted {
-    Ask ask;
+    PlayRequest ask;
     NodeId node;
-    JoinKey key;
+    JoinId key;
   };
   struct CameLeave {
-    Line line;
+    CallId callId;
     bool closed;
   };
   struct CameEvent {
     Event event;
   };
   struct CameEnd {
-    JoinKey join;
+    JoinId join;
     Outcome outcome;
     LoadReport report;
     bool finished;
   };
   struct CameBegan {
-    JoinKey join;
+    JoinId join;
   };
   using Came = std::variant<CameAsk, CameAdopted, CameLeave, CameEvent, CameEnd, CameBegan>;
 
@@ -246,33 +246,33 @@
   void take(CameEvent& came);
   void take(CameEnd& came);
   void take(CameBegan& came);
-  bool repeated(const Ask& ask);
-  Viewing viewingOf(const Request& request) const;
+  bool repeated(const PlayRequest& ask);
+  SubscriptionInfo viewingOf(const Request& request) const;
   void act(const Action& action);
   void join(Request& request, NodeId node, Micros patience);
   void endBeforePlay(JoinOut& out, Outcome outcome, const LoadReport& report, bool tellEdge);
   void finishJoin(JoinOut& out, Outcome outcome, const LoadReport& report, bool settled, bool tellEdge);
   void timeOut(JoinOut& out);
-  void hasten(Request& request, Micros giveUpAt);
+  void hasten(Request& request, Micros deadline);
   void settle(Request& request);
   void lapse(Request& request);
   void endEverything();
   void answerPlaying(Request& request);
-  void answerThrottled(Request& request, Micros retryAfter, WhyThrottled why);
-  void answerTerminated(Request& request, WhyTerminated why);
-  void endLines(Request& request, WhyEnded why, Micros retryAfter);
-  void remember(const Request& request, ledger::Mark mark);
+  void answerThrottled(Request& request, Micros retryAfter, ThrottleReason why);
+  void answerTerminated(Request& request, TerminateReason why);
+  void endLines(Request& request, EndReason why, Micros retryAfter);
+  void remember(const Request& request, ledger::RecordState mark);
   void letGo(const SetUp& order, ledger::Seq seq);
   void giveUpUnrecorded();
-  void forget(SubId sub);
+  void forget(SubscriptionId sub);
   void lateOnes();
-  Request* find(SubId sub);
-  JoinOut* findJoin(JoinKey key);
-  static ledger::Digest keyOf(const Ask& ask);
-  void trip(Rule rule) { ++figures_.held[static_cast<std::size_t>(rule)]; }
+  Request* find(SubscriptionId sub);
+  JoinOut* findJoin(JoinId key);
+  static ledger::Digest keyOf(const PlayRequest& ask);
+  void trip(Rule rule) { ++statistics_.held[static_cast<std::size_t>(rule)]; }
 
-  Terms terms_;
-  Bounds bounds_;
+  ControlSettings terms_;
+  Limits bounds_;
   std::unique_ptr<Decider> decider_;
   Guards guards_;
   Micros now_ = 0;
@@ -281,23 +281,23 @@
   bool draining_ = false;
   bool ending_ = false;
   Micros answerBy_ = 0;  // 0: at each ask's own time
-  SubId nextSub_ = 0;
-  JoinKey nextJoin_ = 0;
+  SubscriptionId nextSub_ = 0;
+  JoinId nextJoin_ = 0;
   std::vector<Came> came_;
   std::vector<Event> events_;
-  std::vector<Order>* orders_ = nullptr;
-  std::map<SubId, std::unique_ptr<Request>> requests_;
-  std::map<JoinKey, std::unique_ptr<JoinOut>> joins_;
-  std::map<Line, SubId> lines_;
-  std::map<ledger::Digest, SubId> byKey_;
+  std::vector<Command>* orders_ = nullptr;
+  std::map<SubscriptionId, std::unique_ptr<Request>> requests_;
+  std::map<JoinId, std::unique_ptr<JoinOut>> joins_;
+  std::map<CallId, SubscriptionId> lines_;
+  std::map<ledger::Digest, SubscriptionId> byKey_;
   ledger::Ledger ledger_;
-  ComeBack comeBack_;
+  RetryAfterSchedule retryAfterSchedule_;
   std::deque<std::pair<ledger::Seq, SetUp>> unrecorded_;  // joins whose intent is not on disk yet
   bool storeFailed_ = false;
-  std::set<std::pair<Micros, SubId>> deadlines_;  // of asks, and of subscriptions without a player
-  std::set<std::pair<Micros, JoinKey>> timeouts_;
+  std::set<std::pair<Micros, SubscriptionId>> deadlines_;  // of asks, and of subscriptions without a player
+  std::set<std::pair<Micros, JoinId>> timeouts_;
   std::multimap<Micros, std::int64_t> alarms_;
-  Figures figures_;
+  Statistics statistics_;
 };
 
 }  // namespace lupinsill::session
--- a/src/session/guards.cpp
+++ b/src/session/guards.cpp
@@ -32,7 +32,7 @@
 }
 }  // namespace
 
-void Guards::listed(Micros now, const ListTold& told) {
+void Guards::listUpdated(Micros now, const ListUpdate& told) {
   if (told.kind == ListKind::lost) return;
   std::set<NodeId> named;
   for (const ListEntry& entry : told.entries) {
@@ -53,9 +53,9 @@
     if (!named.contains(id) && node.state == NodeState::ready) node.state = NodeState::gone, node.since = now;
 }
 
-void Guards::asked(Micros now) {
-  if (!terms_.furtherJoins) return;
-  forget(asks_, now - terms_.furtherJoins->window);
+void Guards::requestArrived(Micros now) {
+  if (!terms_.retryBudget) return;
+  forget(asks_, now - terms_.retryBudget->window);
   asks_.push_back(now);
 }
 
@@ -80,7 +80,7 @@
     return true;
   }
   forget(node.sent, now - terms_.fallTime);
-  const int places = terms_.placesOf(node.kind);
+  const int places = terms_.slotsOf(node.kind);
   // Of the moment at which what is counted here began: the node was colder then.
   const Micros then = (node.sent.empty() ? now : node.sent.front()) - node.readyAt;
   const double warmth = terms_.startCapacity + (1 - terms_.startCapacity) *
@@ -110,16 +110,16 @@
   if (drained(now, id)) return rule = Rule::drain, false;
   if (room.seats > 0 && seatsTaken(title, roomType) >= static_cast<std::size_t>(room.seats))
     return rule = Rule::seats, false;
-  if (further && terms_.furtherJoins) {
-    const FurtherJoins& budget = *terms_.furtherJoins;
+  if (further && terms_.retryBudget) {
+    const RetryBudget& budget = *terms_.retryBudget;
     forget(further_, now - budget.window);
     forget(asks_, now - budget.window);
     if (static_cast<double>(further_.size()) + 1 >
-        budget.few + budget.share * static_cast<double>(asks_.size()))
+        budget.minRetries + budget.share * static_cast<double>(asks_.size()))
       return rule = Rule::further, false;
   }
   if (!coldAllows(now, id)) return rule = Rule::cold, false;
-  if (further && terms_.furtherJoins) further_.push_back(now);
+  if (further && terms_.retryBudget) further_.push_back(now);
   ++seats_[{title, roomType}];
   return true;
 }
--- a/src/session/guards.h
+++ b/src/session/guards.h
@@ -22,10 +22,10 @@
 class Guards {
  public:
   // `grace`: after the word that a node drains or is gone, until when joins may still go there.
-  Guards(const Terms& terms, Micros grace) : terms_(terms), grace_(grace) {}
+  Guards(const ControlSettings& terms, Micros grace) : terms_(terms), grace_(grace) {}
 
-  void listed(Micros now, const ListTold& told);
-  void asked(Micros now);
+  void listUpdated(Micros now, const ListUpdate& told);
+  void requestArrived(Micros now);
 
   // Whether a join may be placed; if so its seat is taken. `rule` says which rule held it back.
   bool mayPlace(Micros now, const std::string& title, int roomType, NodeId node, bool further, Rule& rule);
@@ -49,7 +49,7 @@
   bool drained(Micros now, NodeId id) const;
   bool coldAllows(Micros now, NodeId id);
 
-  Terms terms_;
+  ControlSettings terms_;
   Micros grace_;
   std::map<NodeId, Known> nodes_;
   std::map<std::pair<std::string, int>, std::size_t> seats_;
--- a/src/settings/deployment.cpp
+++ b/src/settings/deployment.cpp
@@ -77,7 +77,7 @@
 }
 
 void readRules(const std::string& file, const Element& e, Deployment& d) {
-  Terms& t = d.terms;
+  ControlSettings& t = d.terms;
   d.bounds.grace = span(e, "grace");
   t.coldTime = span(e, "cold-time");
   t.fallTime = span(e, "fall-time");
@@ -88,8 +88,8 @@
     refuse(file, e, "expected cold-time and start-capacity over 0 and overload-factor of at least 1");
   const Element* further = e.child("further-joins");
   if (further == nullptr) return;
-  t.furtherJoins = FurtherJoins{whole(*further, "few"), real(*further, "share"), span(*further, "window")};
-  if (t.furtherJoins->window <= 0) refuse(file, *further, "window: expected more than 0s");
+  t.retryBudget = RetryBudget{whole(*further, "few"), real(*further, "share"), span(*further, "window")};
+  if (t.retryBudget->window <= 0) refuse(file, *further, "window: expected more than 0s");
 }
 
 }  // namespace
@@ -109,7 +109,7 @@
 Deployment readDeployment(const std::string& file) {
   const Element root = readXml(file, directorSchema);
   Deployment d;
-  Terms& t = d.terms;
+  ControlSettings& t = d.terms;
 
   const Element& director = *root.child("director");
   d.name = director.text("name");
@@ -157,13 +157,13 @@
   const Element& fleet = *root.child("fleet");
   t.cells = whole(fleet, "cells");
   t.racks = whole(fleet, "racks");
-  t.allLinksKb = real(fleet, "all-links-kb");
-  t.rackKb = real(fleet, "rack-uplink-kb");
+  t.totalLinkKb = real(fleet, "all-links-kb");
+  t.rackUplinkKb = real(fleet, "rack-uplink-kb");
   t.weightKb = real(fleet, "weight-kb");
-  t.refusesFrom = real(fleet, "refuses-from");
+  t.refusalThreshold = real(fleet, "refuses-from");
   for (const Element& kind : fleet.children) {
     name(file, kind, d.kinds);
-    t.placesByKind.push_back(whole(kind, "places"));
+    t.slotsByKind.push_back(whole(kind, "places"));
   }
 
   const Element& ladder = *root.child("ladder");
@@ -181,9 +181,9 @@
   t.retryAfter = yes(answers, "retry-after");
   t.maxRetryAfter = span(answers, "retry-after-most");
   t.cancelling = yes(answers, "call-off");
-  d.bounds.orphanHold = span(answers, "orphan-hold");
-  d.bounds.keyMemory = span(answers, "key-memory");
-  d.bounds.standstill = std::max<Micros>(300'000, span(answers, "standstill"));
+  d.bounds.orphanTimeout = span(answers, "orphan-hold");
+  d.bounds.keyRetention = span(answers, "key-memory");
+  d.bounds.stallThreshold = std::max<Micros>(300'000, span(answers, "standstill"));
 
   readRoomTypes(file, *root.child("room-types"), d);
   if (const Element* tenants = root.child("tenants"))
@@ -193,15 +193,15 @@
     }
 
   const Element& reports = *root.child("reports");
-  t.reportsEvery = span(reports, "every");
+  t.reportInterval = span(reports, "every");
   t.seenAfter = span(reports, "seen-after");
   t.uplinksReported = yes(reports, "uplinks");
   readRules(file, *root.child("rules"), d);
 
   const Element& limits = *root.child("limits");
-  d.bounds.openMost = static_cast<std::size_t>(whole(limits, "open-asks"));
-  d.bounds.playsMost = static_cast<std::size_t>(whole(limits, "subscriptions"));
-  d.bounds.keysMost = static_cast<std::size_t>(whole(limits, "keys"));
+  d.bounds.maxOpen = static_cast<std::size_t>(whole(limits, "open-asks"));
+  d.bounds.maxSubscriptions = static_cast<std::size_t>(whole(limits, "subscriptions"));
+  d.bounds.maxKeys = static_cast<std::size_t>(whole(limits, "keys"));
   d.sockets = {whole(limits, "connections"),
                whole(limits, "asks-per-socket"),
                static_cast<std::size_t>(whole(limits, "message-bytes")),
@@ -232,7 +232,7 @@
   const auto say = [&](bool differs, const char* what) {
     if (differs) out.emplace_back(what);
   };
-  const Terms &a = now.terms, &b = next.terms;
+  const ControlSettings &a = now.terms, &b = next.terms;
   const auto same = [](const net::TlsFiles& x, const net::TlsFiles& y) { return x.empty() == y.empty(); };
   say(!same(now.playersTls, next.playersTls) || !same(now.nodesTls, next.nodesTls), "tls, on or off");
   say(now.name != next.name || a.ordinal != b.ordinal || a.directors != b.directors || a.zone != b.zone,
@@ -242,9 +242,9 @@
       "listen");
   say(now.ticketKeyFile != next.ticketKeyFile, "tickets");
   say(now.ledgerFile != next.ledgerFile || now.ledgerMegabytes != next.ledgerMegabytes, "ledger");
-  say(now.kinds != next.kinds || a.placesByKind != b.placesByKind || a.cells != b.cells ||
-          a.racks != b.racks || a.allLinksKb != b.allLinksKb || a.rackKb != b.rackKb ||
-          a.weightKb != b.weightKb || a.refusesFrom != b.refusesFrom,
+  say(now.kinds != next.kinds || a.slotsByKind != b.slotsByKind || a.cells != b.cells || a.racks != b.racks ||
+          a.totalLinkKb != b.totalLinkKb || a.rackUplinkKb != b.rackUplinkKb || a.weightKb != b.weightKb ||
+          a.refusalThreshold != b.refusalThreshold,
       "fleet");
   say(a.ladderKb != b.ladderKb || a.rungBenefit != b.rungBenefit || a.switchSeconds != b.switchSeconds,
       "ladder");
@@ -258,12 +258,12 @@
                       [&](const RoomType& x, const RoomType& y) { return !differ(x, y); }),
       "room-types");
   say(now.tenants != next.tenants || a.quotaPerSecond != b.quotaPerSecond, "tenants");
-  say(a.reportsEvery != b.reportsEvery || a.seenAfter != b.seenAfter ||
+  say(a.reportInterval != b.reportInterval || a.seenAfter != b.seenAfter ||
           a.uplinksReported != b.uplinksReported,
       "reports");
-  const auto further = [](const Terms& t) {
-    return t.furtherJoins ? std::tuple(t.furtherJoins->few, t.furtherJoins->share, t.furtherJoins->window)
-                          : std::tuple(-1, 0.0, Micros{0});
+  const auto further = [](const ControlSettings& t) {
+    return t.retryBudget ? std::tuple(t.retryBudget->minRetries, t.retryBudget->share, t.retryBudget->window)
+                         : std::tuple(-1, 0.0, Micros{0});
   };
   say(now.bounds.grace != next.bounds.grace || a.coldTime != b.coldTime || a.fallTime != b.fallTime ||
           a.startCapacity != b.startCapacity || a.overloadFactor != b.overloadFactor ||
@@ -271,11 +271,13 @@
       "rules");
   say(now.bounds.answerMargin != next.bounds.answerMargin || a.retryAfter != b.retryAfter ||
           a.maxRetryAfter != b.maxRetryAfter || a.cancelling != b.cancelling ||
-          now.bounds.orphanHold != next.bounds.orphanHold || now.bounds.keyMemory != next.bounds.keyMemory ||
-          now.bounds.standstill != next.bounds.standstill,
+          now.bounds.orphanTimeout != next.bounds.orphanTimeout ||
+          now.bounds.keyRetention != next.bounds.keyRetention ||
+          now.bounds.stallThreshold != next.bounds.stallThreshold,
       "answers");
-  say(now.bounds.openMost != next.bounds.openMost || now.bounds.playsMost != next.bounds.playsMost ||
-          now.bounds.keysMost != next.bounds.keysMost,
+  say(now.bounds.maxOpen != next.bounds.maxOpen ||
+          now.bounds.maxSubscriptions != next.bounds.maxSubscriptions ||
+          now.bounds.maxKeys != next.bounds.maxKeys,
       "limits (open-asks, subscriptions, keys)");
   return out;
 }
@@ -296,41 +298,43 @@
 
 }  // namespace
 
-fleet::Word readNodes(const std::string& file, const Deployment& deployment, Micros wallToClock) {
+fleet::NodeList readNodes(const std::string& file, const Deployment& deployment, Micros wallToClock) {
   const Element root = readXml(file, nodesSchema);
-  fleet::Word word;
+  fleet::NodeList word;
   word.version = std::strtoull(root.text("version").c_str(), nullptr, 10);
   word.otherTitlesEverywhere = root.text("others") == "everywhere";
   std::set<NodeId> seen;
   for (const Element& e : root.children) {
     if (e.name == "title") {
-      const fleet::TitleAt at{whole(e, "first-cell"), std::min(whole(e, "holders"), deployment.terms.cells)};
+      const fleet::TitlePlacement at{whole(e, "first-cell"),
+                                     std::min(whole(e, "holders"), deployment.terms.cells)};
       if (at.firstCell >= deployment.terms.cells)
         refuse(file, e,
                "first-cell: expected less than the fleet's cells, " + std::to_string(deployment.terms.cells));
       word.titles[e.text("name")] = at;
       continue;
     }
-    fleet::Box box;
-    box.node = static_cast<NodeId>(std::strtoul(e.text("id").c_str(), nullptr, 10));
-    if (!seen.insert(box.node).second)
+    fleet::NodeEndpoint endpoint;
+    endpoint.node = static_cast<NodeId>(std::strtoul(e.text("id").c_str(), nullptr, 10));
+    if (!seen.insert(endpoint.node).second)
       refuse(file, e, "id " + e.text("id") + ": expected one not used above");
     const Endpoint at = endpointOf(file, e, e.text("address"));
-    box.host = at.host, box.port = at.port;
-    box.kind = placeOf(deployment.kinds, e.text("kind"));
-    if (box.kind < 0) refuse(file, e, "kind '" + e.text("kind") + "': expected one named in the settings");
-    box.zone = e.text("zone");
-    box.cell = whole(e, "cell");
-    if (box.cell >= deployment.terms.cells)
+    endpoint.host = at.host, endpoint.port = at.port;
+    endpoint.kind = placeOf(deployment.kinds, e.text("kind"));
+    if (endpoint.kind < 0)
+      refuse(file, e, "kind '" + e.text("kind") + "': expected one named in the settings");
+    endpoint.zone = e.text("zone");
+    endpoint.cell = whole(e, "cell");
+    if (endpoint.cell >= deployment.terms.cells)
       refuse(file, e,
              "cell: expected less than the fleet's cells, " + std::to_string(deployment.terms.cells));
-    box.weight = real(e, "weight");
+    endpoint.weight = real(e, "weight");
     const std::string state = e.text("state");
-    box.state = state == "ready"      ? NodeState::ready
-                : state == "draining" ? NodeState::draining
-                                      : NodeState::gone;
-    box.readyAt = startOf(file, e, wallToClock);
-    word.boxes.push_back(std::move(box));
+    endpoint.state = state == "ready"      ? NodeState::ready
+                     : state == "draining" ? NodeState::draining
+                                           : NodeState::gone;
+    endpoint.readyAt = startOf(file, e, wallToClock);
+    word.endpoints.push_back(std::move(endpoint));
   }
   return word;
 }
--- a/src/settings/deployment.h
+++ b/src/settings/deployment.h
@@ -57,12 +57,12 @@
   Micros ticketValid = 0;
   std::string ledgerFile;  // empty: none
   std::size_t ledgerMegabytes = 0;
-  std::vector<std::string> roomTypes;  // names, by the index that Terms uses; so the next two
+  std::vector<std::string> roomTypes;  // names, by the index that ControlSettings uses; so the next two
   std::vector<Micros> clientTimeouts;
   std::vector<std::string> kinds;
   std::vector<std::string> tenants;
-  Terms terms;
-  session::Bounds bounds;
+  ControlSettings terms;
+  session::Limits bounds;
   SocketLimits sockets;
   NodeLimits nodes;
   std::string logLevel;
@@ -76,7 +76,7 @@
 std::vector<std::string> unsafeChanges(const Deployment& now, const Deployment& next);
 
 // `wallToClock`: added to UTC microseconds to get the caller's clock.
-fleet::Word readNodes(const std::string& file, const Deployment& deployment, Micros wallToClock);
+fleet::NodeList readNodes(const std::string& file, const Deployment& deployment, Micros wallToClock);
 
 Micros durationOf(const std::string& text);  // as the schema admits it: digits and a unit
 
