--- a/src/drill/codec.cpp
+++ b/src/simulator/codec.cpp
@@ -6,32 +6,32 @@
 #include <limits>
 #include <utility>
 
-namespace lupinsill::drill {
+namespace lupinsill::simulator {
 namespace {
 
-using namespace terms;
+using namespace control_settings;
 
-SubId subIn(const Json& value) {
-  const std::string text = textIn(value, "rid");
+SubscriptionId subIn(const Json& value) {
+  const std::string text = parseText(value, "rid");
   if (text.size() != 16 || text.find_first_not_of("0123456789abcdef") != std::string::npos)
     bad("rid", "not 16 hex digits");
   return std::stoull(text, nullptr, 16);
 }
 
-std::string ridOf(SubId sub) {
+std::string ridOf(SubscriptionId sub) {
   char text[17];
   std::snprintf(text, sizeof text, "%016llx", static_cast<unsigned long long>(sub));
   return text;
 }
 
-NodeId nodeIn(const Json& value) { return static_cast<NodeId>(wholeIn(value, "node", 0, 0xffffffffLL)); }
+NodeId nodeIn(const Json& value) { return static_cast<NodeId>(parseInteger(value, "node", 0, 0xffffffffLL)); }
 
 int smallIn(const Json& value, const char* what, int instead) {
-  return value.is_null() ? instead : static_cast<int>(wholeIn(value, what, -1'000'000, 1'000'000));
+  return value.is_null() ? instead : static_cast<int>(parseInteger(value, what, -1'000'000, 1'000'000));
 }
 
 NodeState stateIn(const std::string& word) {
-  return wordIn<NodeState>(
+  return parseEnum<NodeState>(
       word, "status",
       {{"ready", NodeState::ready}, {"draining", NodeState::draining}, {"gone", NodeState::gone}});
 }
@@ -40,8 +40,8 @@
   LoadReport report;
   if (telemetry.is_null()) return report;
   if (!telemetry.is_object()) bad("telemetry", "not an object");
-  for (const auto& [name, into] : terms::reported)
-    if (const Json* value = found(telemetry, name)) report.*into = realIn(*value, name);
+  for (const auto& [name, into] : control_settings::reported)
+    if (const Json* value = found(telemetry, name)) report.*into = parseNumber(*value, name);
   return report;
 }
 
@@ -49,11 +49,11 @@
   std::size_t holders, show, hint, notAfter, account, top, firstCell, routeKey, kind, bits;
 };
 
-Viewing viewingOf(const Message& m, const Names& names, const ViewingPlaces& at) {
-  Viewing v;
+SubscriptionInfo viewingOf(const Message& m, const Names& names, const ViewingPlaces& at) {
+  SubscriptionInfo v;
   v.sub = subIn(m.value(2));
-  v.title = m.value(at.show).is_null() ? "" : textIn(m.value(at.show), "show");
-  v.viewer = m.value(at.routeKey).is_null() ? "" : textIn(m.value(at.routeKey), "routeKey");
+  v.title = m.value(at.show).is_null() ? "" : parseText(m.value(at.show), "show");
+  v.viewer = m.value(at.routeKey).is_null() ? "" : parseText(m.value(at.routeKey), "routeKey");
   const std::string type = m.text(at.kind, "kind");
   v.roomType = placeOf(names.roomTypes, type);
   if (v.roomType < 0) bad("kind", "unknown class '" + type + "'");
@@ -62,9 +62,10 @@
   v.firstCell = smallIn(m.value(at.firstCell), "firstCell", 0);
   v.holders = smallIn(m.value(at.holders), "holders", 1'000'000);
   v.top = smallIn(m.value(at.top), "top", 1'000'000);
-  v.giveUpAt = m.value(at.notAfter).is_null() ? 0 : microsIn(m.value(at.notAfter), "notAfterNs");
-  const std::int64_t bits = m.value(at.bits).is_null() ? 0 : wholeIn(m.value(at.bits), "bits", 0);
-  if ((bits & 1) != 0 && !m.value(at.hint).is_null()) v.length = microsIn(m.value(at.hint), "sizeHintNs");
+  v.deadline = m.value(at.notAfter).is_null() ? 0 : parseNanoseconds(m.value(at.notAfter), "notAfterNs");
+  const std::int64_t bits = m.value(at.bits).is_null() ? 0 : parseInteger(m.value(at.bits), "bits", 0);
+  if ((bits & 1) != 0 && !m.value(at.hint).is_null())
+    v.length = parseNanoseconds(m.value(at.hint), "sizeHintNs");
   v.moved = (bits & 8) != 0;
   return v;
 }
@@ -84,21 +85,23 @@
   static const Json nothing;
   return place < array_.size() ? array_[place] : nothing;
 }
-std::int64_t Message::whole(std::size_t place, const char* what) const { return wholeIn(value(place), what); }
-std::string Message::text(std::size_t place, const char* what) const { return textIn(value(place), what); }
+std::int64_t Message::whole(std::size_t place, const char* what) const {
+  return parseInteger(value(place), what);
+}
+std::string Message::text(std::size_t place, const char* what) const { return parseText(value(place), what); }
 
-Micros clockOf(const Json& nanos) { return wholeIn(nanos, "wallNs", 0) / 1000; }
+Micros clockOf(const Json& nanos) { return parseInteger(nanos, "wallNs", 0) / 1000; }
 
 bool isKnownEvent(const std::string& name) {
   return std::find(std::begin(knownEvents), std::end(knownEvents), name) != std::end(knownEvents);
 }
 
 ListKind listKindOf(const std::string& word) {
-  return wordIn<ListKind>(word, "kind",
-                          {{"incr", ListKind::changes},
-                           {"total", ListKind::total},
-                           {"warm_copy", ListKind::warmCopy},
-                           {"lost", ListKind::lost}});
+  return parseEnum<ListKind>(word, "kind",
+                             {{"incr", ListKind::changes},
+                              {"total", ListKind::snapshot},
+                              {"warm_copy", ListKind::cachedSnapshot},
+                              {"lost", ListKind::lost}});
 }
 
 std::vector<ListEntry> entriesOf(const Json& rows, const Names& names) {
@@ -108,13 +111,13 @@
     if (!row.is_array() || row.size() < 3) bad("membersList", "an entry is not an array of values");
     const auto at = [&](std::size_t place) { return itemIn(row, place); };
     ListEntry entry;
-    entry.state = stateIn(textIn(row[0], "status"));
-    if (const Json* v = at(1)) entry.kind = placeOf(names.kinds, textIn(*v, "model"));
+    entry.state = stateIn(parseText(row[0], "status"));
+    if (const Json* v = at(1)) entry.kind = placeOf(names.kinds, parseText(*v, "model"));
     entry.node = nodeIn(row[2]);
-    if (const Json* v = at(3)) entry.weight = realIn(*v, "size");
-    if (const Json* v = at(4)) entry.cell = static_cast<int>(wholeIn(*v, "slotNo", 0, 1'000'000'000));
-    if (const Json* v = at(5)) entry.readyAt = microsIn(*v, "readyAtNs");
-    if (const Json* v = at(6)) entry.zone = textIn(*v, "locality");
+    if (const Json* v = at(3)) entry.weight = parseNumber(*v, "size");
+    if (const Json* v = at(4)) entry.cell = static_cast<int>(parseInteger(*v, "slotNo", 0, 1'000'000'000));
+    if (const Json* v = at(5)) entry.readyAt = parseNanoseconds(*v, "readyAtNs");
+    if (const Json* v = at(6)) entry.zone = parseText(*v, "locality");
     entries.push_back(std::move(entry));
   }
   return entries;
@@ -125,35 +128,37 @@
 std::vector<Event> eventOf(const Message& m, const Names& names) {
   const std::string& name = m.name();
   if (name == "Demand") {
-    Viewing viewing = viewingOf(m, names, {3, 4, 5, 6, 7, 8, 9, 10, 11, 12});
+    SubscriptionInfo viewing = viewingOf(m, names, {3, 4, 5, 6, 7, 8, 9, 10, 11, 12});
     if (m.value(6).is_null()) bad("notAfterNs", "missing");
-    return {Requested{std::move(viewing)}};
+    return {SubscriptionRequested{std::move(viewing)}};
   }
   if (name == "Preexisting")
-    return {UnderWay{viewingOf(m, names, {11, 13, 4, 9, 3, 7, 10, 12, 8, 5}), nodeIn(m.value(6))}};
-  if (name == "Begun") return {Began{subIn(m.value(2)), smallIn(m.value(3), "attempt", 0)}};
+    return {SubscriptionAdopted{viewingOf(m, names, {11, 13, 4, 9, 3, 7, 10, 12, 8, 5}), nodeIn(m.value(6))}};
+  if (name == "Begun") return {JoinStarted{subIn(m.value(2)), smallIn(m.value(3), "attempt", 0)}};
   if (name == "Change") {
-    const std::int64_t kind = wholeIn(m.value(5), "kind");
+    const std::int64_t kind = parseInteger(m.value(5), "kind");
     if (kind < 1 || kind > 4) bad("kind", "unknown note " + std::to_string(kind));
-    constexpr Reading readings[] = {Reading::delivered, Reading::rung, Reading::link, Reading::uplink};
-    return {Noted{subIn(m.value(2)), nodeIn(m.value(4)), readings[kind - 1], realIn(m.value(6), "x")}};
+    constexpr MeasurementKind readings[] = {MeasurementKind::delivered, MeasurementKind::rung,
+                                            MeasurementKind::link, MeasurementKind::uplink};
+    return {MeasurementReported{subIn(m.value(2)), nodeIn(m.value(4)), readings[kind - 1],
+                                parseNumber(m.value(6), "x")}};
   }
   if (name == "Response") {
     if (!m.value(7).is_boolean()) bad("settled", "not true or false");
-    const Outcome outcome = wordIn<Outcome>(m.text(4, "rc"), "rc",
-                                            {{"ok", Outcome::ok},
-                                             {"error", Outcome::error},
-                                             {"full", Outcome::full},
-                                             {"timeout", Outcome::timeout},
-                                             {"connect_failed", Outcome::connectFailed},
-                                             {"reset", Outcome::reset},
-                                             {"cancelled", Outcome::cancelled},
-                                             {"moot", Outcome::moot}});
+    const Outcome outcome = parseEnum<Outcome>(m.text(4, "rc"), "rc",
+                                               {{"ok", Outcome::ok},
+                                                {"error", Outcome::error},
+                                                {"full", Outcome::full},
+                                                {"timeout", Outcome::timeout},
+                                                {"connect_failed", Outcome::connectFailed},
+                                                {"reset", Outcome::reset},
+                                                {"cancelled", Outcome::cancelled},
+                                                {"moot", Outcome::notSent}});
     return {JoinEnded{subIn(m.value(2)), nodeIn(m.value(3)), smallIn(m.value(5), "attempt", 0), outcome,
                       m.value(7).get<bool>(), reportIn(m.value(8))}};
   }
-  if (name == "Lapsed") return {Lapsed{subIn(m.value(2))}};
-  if (name == "DeadlineHit") return {AlarmRang{m.whole(2, "keyBack")}};
+  if (name == "Lapsed") return {SubscriptionAbandoned{subIn(m.value(2))}};
+  if (name == "DeadlineHit") return {TimerFired{m.whole(2, "keyBack")}};
   return {};
 }
 
@@ -161,14 +166,14 @@
   struct Writer {
     std::int64_t who;
     Json operator()(const SetRung& a) const { return {"ChooseRate", who, ridOf(a.sub), a.rung}; }
-    Json operator()(const Join& a) const { return {"HandOff", who, ridOf(a.sub), a.node, a.patience * 1000}; }
-    Json operator()(const CallOff& a) const { return {"CallOff", who, ridOf(a.sub), a.join}; }
+    Json operator()(const Join& a) const { return {"HandOff", who, ridOf(a.sub), a.node, a.timeout * 1000}; }
+    Json operator()(const CancelJoin& a) const { return {"CallOff", who, ridOf(a.sub), a.join}; }
     Json operator()(const Throttle& a) const { return {"PushBack", who, ridOf(a.sub), a.retryAfter * 1000}; }
     Json operator()(const Terminate& a) const { return {"RespondError", who, ridOf(a.sub)}; }
-    Json operator()(const SetAlarm& a) const { return {"SetAlarm", who, a.key, a.span * 1000}; }
-    Json operator()(const FollowList&) const { return {"Subscribe", who, true}; }
+    Json operator()(const SetTimer& a) const { return {"SetAlarm", who, a.key, a.span * 1000}; }
+    Json operator()(const WatchList&) const { return {"Subscribe", who, true}; }
   };
   return std::visit(Writer{who}, action);
 }
 
-}  // namespace lupinsill::drill
+}  // namespace lupinsill::simulator
--- a/src/drill/codec.h
+++ b/src/simulator/codec.h
@@ -6,13 +6,13 @@
 #include <vector>
 
 #include "control.h"
-#include "terms/terms.h"
+#include "control_settings/control_settings.h"
 
-namespace lupinsill::drill {
+namespace lupinsill::simulator {
 
-using terms::BadInput;
-using terms::Json;
-using terms::Names;
+using control_settings::InvalidInput;
+using control_settings::Json;
+using control_settings::Names;
 
 // One message: its name and its values in the order of the wire, with typed access that says what is wrong.
 class Message {
@@ -37,4 +37,4 @@
 std::vector<Event> eventOf(const Message& message, const Names& names);
 Json wireOf(std::int64_t instance, const Action& action);
 
-}  // namespace lupinsill::drill
+}  // namespace lupinsill::simulator
--- a/src/drill/host.h
+++ b/src/simulator/host.h
@@ -8,11 +8,11 @@
 
 #include "codec.h"
 
-namespace lupinsill::drill {
+namespace lupinsill::simulator {
 
 class Host {
  public:
-  // Plays one batch and returns the reply's line; throws BadInput on what the wire does not allow.
+  // Plays one batch and returns the reply's line; throws InvalidInput on what the wire does not allow.
   std::string play(const std::string& line);
 
  private:
@@ -27,4 +27,4 @@
   std::array<Json, 16> pages_;
 };
 
-}  // namespace lupinsill::drill
+}  // namespace lupinsill::simulator
--- a/src/drill/main.cpp
+++ b/src/simulator/main.cpp
@@ -8,7 +8,7 @@
 int main() {
   std::ios::sync_with_stdio(false);
   std::cin.tie(nullptr);
-  lupinsill::drill::Host host;
+  lupinsill::simulator::Host host;
   std::string line;
   for (std::size_t number = 1; std::getline(std::cin, line); ++number) {
     if (line.empty()) continue;
--- a/src/websocket/channel.cpp
+++ b/src/websocket/channel.cpp
@@ -11,8 +11,9 @@
 constexpr Micros closeWait = 2'000'000;  // for the peer's close frame
 }
 
-Channel::Channel(net::Bev bev, Ear& ear, const ChannelLimits& limits, bool server, const std::string& host)
-    : bev_(std::move(bev)), ear_(ear), limits_(limits), server_(server), host_(host) {
+Channel::Channel(net::BufferEvent bufferEvent, Handler& handler, const ChannelLimits& limits, bool server,
+                 const std::string& host)
+    : bufferEvent_(std::move(bufferEvent)), handler_(handler), limits_(limits), server_(server), host_(host) {
   openedAt_ = heardAt_ = pingedAt_ = net::monotonicNow();
   wslay_event_callbacks callbacks{};
   callbacks.recv_callback = receive;
@@ -24,43 +25,46 @@
   else
     wslay_event_context_client_init(&wslay_, &callbacks, this);
   wslay_event_config_set_max_recv_msg_length(wslay_, limits_.messageBytes);
-  bufferevent_setcb(bev_.get(), onRead, onWrite, onEvent, this);
+  bufferevent_setcb(bufferEvent_.get(), onRead, onWrite, onEvent, this);
   // Guards against a peer that sends faster than it is served: what is not read stays in the kernel.
-  bufferevent_setwatermark(bev_.get(), EV_READ, 0, limits_.messageBytes * 4 + headMost);
-  bufferevent_enable(bev_.get(), EV_READ | EV_WRITE);
+  bufferevent_setwatermark(bufferEvent_.get(), EV_READ, 0, limits_.messageBytes * 4 + headMost);
+  bufferevent_enable(bufferEvent_.get(), EV_READ | EV_WRITE);
 }
 
 Channel::~Channel() { wslay_event_context_free(wslay_); }
 
-std::size_t Channel::unsent() const { return evbuffer_get_length(bufferevent_get_output(bev_.get())); }
+std::size_t Channel::unsent() const {
+  return evbuffer_get_length(bufferevent_get_output(bufferEvent_.get()));
+}
 
 void Channel::die(int code) {
   if (state_ == State::dead) return;
   state_ = State::dead;
-  bufferevent_disable(bev_.get(), EV_READ | EV_WRITE);
-  bufferevent_setcb(bev_.get(), nullptr, nullptr, nullptr, nullptr);
-  ear_.onClosed(*this, code);
+  bufferevent_disable(bufferEvent_.get(), EV_READ | EV_WRITE);
+  bufferevent_setcb(bufferEvent_.get(), nullptr, nullptr, nullptr, nullptr);
+  handler_.onClosed(*this, code);
 }
 
 void Channel::abort() {
   if (state_ == State::dead) return;
   state_ = State::dead;
-  bev_.reset();
+  bufferEvent_.reset();
 }
 
 void Channel::refuse(std::string text) {
   refused_ = true;
   closingAt_ = net::monotonicNow();
   state_ = State::closing;
-  evbuffer_add(bufferevent_get_output(bev_.get()), text.data(), text.size());
+  evbuffer_add(bufferevent_get_output(bufferEvent_.get()), text.data(), text.size());
 }
 
 void Channel::stopReading() {
-  if (bev_) bufferevent_disable(bev_.get(), EV_READ);
+  if (bufferEvent_) bufferevent_disable(bufferEvent_.get(), EV_READ);
 }
 
 void Channel::sendRaw(std::string_view bytes) {
-  if (state_ != State::dead) evbuffer_add(bufferevent_get_output(bev_.get()), bytes.data(), bytes.size());
+  if (state_ != State::dead)
+    evbuffer_add(bufferevent_get_output(bufferEvent_.get()), bytes.data(), bytes.size());
 }
 
 void Channel::sendText(std::string_view text) {
@@ -102,7 +106,7 @@
 }
 
 void Channel::readOpening() {
-  evbuffer* input = bufferevent_get_input(bev_.get());
+  evbuffer* input = bufferevent_get_input(bufferEvent_.get());
   const evbuffer_ptr end = evbuffer_search(input, "\r\n\r\n", 4, nullptr);
   if (end.pos < 0) {
     if (evbuffer_get_length(input) > headMost) {
@@ -116,12 +120,12 @@
   if (server_) {
     const Opening opening = answerOpening(head);
     if (!opening.good) return refuse(opening.reply);
-    evbuffer_add(bufferevent_get_output(bev_.get()), opening.reply.data(), opening.reply.size());
+    evbuffer_add(bufferevent_get_output(bufferEvent_.get()), opening.reply.data(), opening.reply.size());
   } else if (!acceptsOpening(head, key_)) {
     return die(head.starts_with("HTTP/1.1 503") ? 1013 : 1002);
   }
   state_ = State::open;
-  ear_.onOpen(*this);
+  handler_.onOpen(*this);
 }
 
 void Channel::pump() {
@@ -144,7 +148,7 @@
   auto& channel = *static_cast<Channel*>(me);
   channel.heardAt_ = net::monotonicNow();
   if (channel.refused_) {
-    evbuffer* input = bufferevent_get_input(channel.bev_.get());
+    evbuffer* input = bufferevent_get_input(channel.bufferEvent_.get());
     evbuffer_drain(input, evbuffer_get_length(input));
     return;
   }
@@ -163,7 +167,7 @@
 void Channel::onEvent(bufferevent*, short what, void* me) {
   auto& channel = *static_cast<Channel*>(me);
   if (what & BEV_EVENT_CONNECTED) {
-    net::noDelay(bufferevent_getfd(channel.bev_.get()));
+    net::noDelay(bufferevent_getfd(channel.bufferEvent_.get()));
     if (channel.server_) return;  // under TLS, the end of its handshake: the player speaks first
     channel.key_ = freshKey();
     channel.sendRaw(openingRequest(channel.host_, channel.key_));
@@ -182,7 +186,7 @@
     wslay_event_set_error(ctx, WSLAY_ERR_WOULDBLOCK);
     return -1;
   }
-  const int got = evbuffer_remove(bufferevent_get_input(channel.bev_.get()), buffer, size);
+  const int got = evbuffer_remove(bufferevent_get_input(channel.bufferEvent_.get()), buffer, size);
   if (got > 0) return got;
   wslay_event_set_error(ctx, WSLAY_ERR_WOULDBLOCK);
   return -1;
@@ -190,7 +194,8 @@
 
 ssize_t Channel::send(wslay_event_context*, const std::uint8_t* data, std::size_t size, int, void* me) {
   auto& channel = *static_cast<Channel*>(me);
-  if (channel.state_ != State::dead) evbuffer_add(bufferevent_get_output(channel.bev_.get()), data, size);
+  if (channel.state_ != State::dead)
+    evbuffer_add(bufferevent_get_output(channel.bufferEvent_.get()), data, size);
   return static_cast<ssize_t>(size);
 }
 
@@ -204,7 +209,7 @@
   if (channel.state_ != State::open) return;
   if (arg->opcode == WSLAY_BINARY_FRAME) return channel.close(1003, "text only");
   if (arg->opcode != WSLAY_TEXT_FRAME) return;
-  channel.ear_.onText(channel, {reinterpret_cast<const char*>(arg->msg), arg->msg_length});
+  channel.handler_.onText(channel, {reinterpret_cast<const char*>(arg->msg), arg->msg_length});
 }
 
 }  // namespace lupinsill::websocket
--- a/src/websocket/channel.h
+++ b/src/websocket/channel.h
@@ -1,9 +1,9 @@
 // One WebSocket on a bufferevent, either side: handshake, frames by wslay, pings, close codes, and bounds on
 // what a peer may make us hold. Nothing here knows what the messages mean.
 //
-// Errors end the channel and are told once by Ear::onClosed with the RFC 6455 code: 1002 bad frames, 1007 bad
-// UTF-8, 1009 too large, 1003 a binary message, 1008 a reader too slow, 1006 the socket broke. A channel is
-// dead from then on; its owner frees it outside of its callbacks.
+// Errors end the channel and are told once by Handler::onClosed with the RFC 6455 code: 1002 bad frames, 1007
+// bad UTF-8, 1009 too large, 1003 a binary message, 1008 a reader too slow, 1006 the socket broke. A channel
+// is dead from then on; its owner frees it outside of its callbacks.
 #pragma once
 
 #include <wslay/wslay.h>
@@ -28,14 +28,15 @@
 
 class Channel {
  public:
-  struct Ear {
-    virtual ~Ear() = default;
+  struct Handler {
+    virtual ~Handler() = default;
     virtual void onOpen(Channel& channel) = 0;
     virtual void onText(Channel& channel, std::string_view text) = 0;
     virtual void onClosed(Channel& channel, int code) = 0;
   };
 
-  Channel(net::Bev bev, Ear& ear, const ChannelLimits& limits, bool server, const std::string& host);
+  Channel(net::BufferEvent bufferEvent, Handler& handler, const ChannelLimits& limits, bool server,
+          const std::string& host);
   ~Channel();
   Channel(const Channel&) = delete;
   Channel& operator=(const Channel&) = delete;
@@ -63,15 +64,15 @@
                       void* me);
   static int mask(wslay_event_context* ctx, std::uint8_t* buffer, std::size_t size, void* me);
   static void message(wslay_event_context* ctx, const wslay_event_on_msg_recv_arg* arg, void* me);
-  static void onRead(bufferevent* bev, void* me);
-  static void onWrite(bufferevent* bev, void* me);
-  static void onEvent(bufferevent* bev, short what, void* me);
+  static void onRead(bufferevent* bufferEvent, void* me);
+  static void onWrite(bufferevent* bufferEvent, void* me);
+  static void onEvent(bufferevent* bufferEvent, short what, void* me);
   void readOpening();
   void pump();
   void die(int code);
 
-  net::Bev bev_;
-  Ear& ear_;
+  net::BufferEvent bufferEvent_;
+  Handler& handler_;
   ChannelLimits limits_;
   bool server_;
   std::string host_;
--- a/src/websocket/messages.cpp
+++ b/src/websocket/messages.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 using Json = nlohmann::json;
-constexpr std::int64_t spanMost = 24LL * 3600 * 1000;
+constexpr std::int64_t maxDuration = 24LL * 3600 * 1000;
 
 Json parse(std::string_view text) {
   Json json = Json::parse(text, nullptr, false);
@@ -23,7 +23,7 @@
   }
   if (!it->is_string()) throw BadMessage(1008, std::string(key) + ": not text");
   const auto& value = it->get_ref<const std::string&>();
-  if (const char* fault = player::faultOf(value, needed); fault != nullptr)
+  if (const char* fault = session_api::fieldError(value, needed); fault != nullptr)
     throw BadMessage(1008, std::string(key) + ": " + fault);
   return value;
 }
@@ -39,14 +39,15 @@
 }
 
 std::optional<Micros> span(const Json& json, const char* key) {
-  const auto ms = number(json, key, 1, spanMost);
+  const auto ms = number(json, key, 1, maxDuration);
   return ms ? std::optional<Micros>(*ms * 1000) : std::nullopt;
 }
 
-constexpr std::pair<Said, const char*> words[] = {
-    {Said::hello, "hello"}, {Said::playing, "playing"},     {Said::rung, "rung"},
-    {Said::ended, "ended"}, {Said::throttled, "throttled"}, {Said::terminated, "terminated"},
-    {Said::error, "error"}};
+constexpr std::pair<AnswerKind, const char*> words[] = {
+    {AnswerKind::hello, "hello"},         {AnswerKind::playing, "playing"},
+    {AnswerKind::rung, "rung"},           {AnswerKind::ended, "ended"},
+    {AnswerKind::throttled, "throttled"}, {AnswerKind::terminated, "terminated"},
+    {AnswerKind::error, "error"}};
 
 }  // namespace
 
@@ -55,7 +56,7 @@
   const std::string type = word(json, "type", true);
   if (type == "leave") return LeaveMessage{word(json, "id", true)};
   if (type != "ask") throw BadMessage(1008, "type: ask or leave expected");
-  AskMessage ask;
+  PlayMessage ask;
   ask.id = word(json, "id", true);
   ask.key = word(json, "key", true);
   ask.viewer = word(json, "viewer", true);
@@ -63,20 +64,20 @@
   ask.room = word(json, "room", true);
   ask.tenant = word(json, "tenant", false);
   ask.top = static_cast<int>(number(json, "top", 0, 1000).value_or(1000));
-  ask.again = word(json, "again", false);
-  if (const auto ms = number(json, "againMs", 0, spanMost)) ask.againAge = *ms * 1000;
+  ask.previousDirector = word(json, "again", false);
+  if (const auto ms = number(json, "againMs", 0, maxDuration)) ask.sinceFirstSent = *ms * 1000;
   ask.timeout = span(json, "timeoutMs");
   ask.length = span(json, "lengthMs");
   return ask;
 }
 
-std::string textOf(const AskMessage& ask) {
+std::string textOf(const PlayMessage& ask) {
   Json json{{"type", "ask"},      {"id", ask.id},     {"key", ask.key}, {"viewer", ask.viewer},
             {"title", ask.title}, {"room", ask.room}, {"top", ask.top}};
   if (!ask.tenant.empty()) json["tenant"] = ask.tenant;
-  if (!ask.again.empty()) json["again"] = ask.again;
+  if (!ask.previousDirector.empty()) json["again"] = ask.previousDirector;
   // Rounded up: the key must not look younger than it is.
-  if (ask.againAge) json["againMs"] = (*ask.againAge + 999) / 1000;
+  if (ask.sinceFirstSent) json["againMs"] = (*ask.sinceFirstSent + 999) / 1000;
   if (ask.timeout) json["timeoutMs"] = *ask.timeout / 1000;
   if (ask.length) json["lengthMs"] = *ask.length / 1000;
   return json.dump();
@@ -90,7 +91,7 @@
   const std::string type = word(json, "type", true);
   bool known = false;
   for (const auto& [said, name] : words)
-    if (type == name) answer.said = said, known = true;
+    if (type == name) answer.kind = said, known = true;
   if (!known) throw BadMessage(1008, "type: unknown");
   answer.id = word(json, "id", false);
   answer.subscription = word(json, "subscription", false);
@@ -100,7 +101,7 @@
   const auto ticket = json.find("ticket");
   if (ticket != json.end() && ticket->is_string()) answer.ticket = ticket->get<std::string>();
   answer.reason = word(json, "reason", false);
-  answer.retryAfter = number(json, "retryAfterMs", 0, spanMost).value_or(0) * 1000;
+  answer.retryAfter = number(json, "retryAfterMs", 0, maxDuration).value_or(0) * 1000;
   return answer;
 }
 
@@ -109,13 +110,13 @@
   if (!answer.id.empty()) json["id"] = answer.id;
   if (!answer.director.empty()) json["director"] = answer.director;
   for (const auto& [said, name] : words)
-    if (said == answer.said) json["type"] = name;
-  if (answer.said == Said::playing) {
+    if (said == answer.kind) json["type"] = name;
+  if (answer.kind == AnswerKind::playing) {
     json["subscription"] = answer.subscription;
     json["node"] = answer.node;
     json["ticket"] = answer.ticket;
   }
-  if (answer.said == Said::playing || answer.said == Said::rung) json["rung"] = answer.rung;
+  if (answer.kind == AnswerKind::playing || answer.kind == AnswerKind::rung) json["rung"] = answer.rung;
   if (!answer.reason.empty()) json["reason"] = answer.reason;
   // Rounded up: a client that comes back a moment early is a client that comes twice.
   if (answer.retryAfter > 0) json["retryAfterMs"] = (answer.retryAfter + 999) / 1000;
--- a/src/websocket/messages.h
+++ b/src/websocket/messages.h
@@ -8,7 +8,7 @@
 #include <string_view>
 #include <variant>
 
-#include "player/words.h"
+#include "session_api/messages.h"
 
 namespace lupinsill::websocket {
 
@@ -17,14 +17,14 @@
   int code;
 };
 
-using player::AnswerMessage;
-using player::AskMessage;
-using player::LeaveMessage;
-using player::Said;
-using PlayerMessage = std::variant<AskMessage, LeaveMessage>;
+using session_api::AnswerKind;
+using session_api::AnswerMessage;
+using session_api::LeaveMessage;
+using session_api::PlayMessage;
+using PlayerMessage = std::variant<PlayMessage, LeaveMessage>;
 
 PlayerMessage readPlayerMessage(std::string_view text);
-std::string textOf(const AskMessage& ask);
+std::string textOf(const PlayMessage& ask);
 std::string textOf(const LeaveMessage& leave);
 AnswerMessage readAnswer(std::string_view text);
 std::string textOf(const AnswerMessage& answer);
--- a/src/websocket/players.h
+++ b/src/websocket/players.h
@@ -8,7 +8,7 @@
 #include <memory>
 #include <string>
 
-#include "intake/door.h"
+#include "admission/player_server.h"
 #include "net/handles.h"
 #include "settings/deployment.h"
 #include "websocket/channel.h"
@@ -20,26 +20,26 @@
   std::uint64_t badMessages = 0, slow = 0, closed = 0;
 };
 
-class Players final : public Channel::Ear, public intake::Door {
+class Players final : public Channel::Handler, public admission::PlayerServer {
  public:
-  Players(event_base* base, player::Ear& ear, intake::Desk& desk, std::string director,
+  Players(event_base* base, session_api::Handler& handler, admission::CallManager& desk, std::string director,
           const settings::Endpoint& at, const settings::SocketLimits& limits, net::Accept accept);
 
   int port() const { return net::portOf(listener_.get()); }
-  bool carry(session::Line line, const AnswerMessage& message, bool ends) override;
-  void carry(const intake::Due& due) override;
+  bool send(session::CallId callId, const AnswerMessage& message, bool ends) override;
+  void send(const admission::DueAction& due) override;
   void setLimits(const settings::SocketLimits& limits) { limits_ = limits; }
   void stopAccepting() { listener_.reset(); }
-  void cut(session::Line line) override;
+  void cut(session::CallId callId) override;
   void closeAll() override;
   void tick(Micros now) override;
   std::size_t sockets() const override { return sockets_.size() - dead_.size(); }
-  const PlayersFigures& figures() const { return figures_; }
+  const PlayersFigures& statistics() const { return statistics_; }
 
  private:
   struct Socket {
     std::unique_ptr<Channel> channel;
-    std::map<std::string, session::Line> lines;  // by the player's id
+    std::map<std::string, session::CallId> lines;  // by the player's id
   };
   struct LineAt {
     std::uint64_t socket;
@@ -50,21 +50,21 @@
   void onOpen(Channel& channel) override;
   void onText(Channel& channel, std::string_view text) override;
   void onClosed(Channel& channel, int code) override;
-  void asked(Channel& channel, Socket& socket, const AskMessage& ask);
+  void asked(Channel& channel, Socket& socket, const PlayMessage& ask);
   void error(Channel& channel, const std::string& id, const std::string& why);
 
   event_base* base_;
-  player::Ear& ear_;
-  intake::Desk& desk_;
+  session_api::Handler& handler_;
+  admission::CallManager& desk_;
   std::string director_;
   settings::SocketLimits limits_;
   net::Accept accept_;
   net::Listener listener_;
   std::uint64_t refused_ = 0;  // counts down from the top: never a peer's number
   std::map<std::uint64_t, Socket> sockets_;
-  std::map<session::Line, LineAt> lines_;
+  std::map<session::CallId, LineAt> lines_;
   std::vector<std::uint64_t> dead_;
-  PlayersFigures figures_;
+  PlayersFigures statistics_;
 };
 
 }  // namespace lupinsill::websocket
--- a/tests/audit_test.cpp
+++ b/tests/audit_test.cpp
@@ -11,19 +11,19 @@
 constexpr Micros ms = 1'000;
 constexpr Micros second = 1'000'000;
 
-Figures figures() {
-  Figures f;
+Statistics statistics() {
+  Statistics f;
   RoomType clip, paid;
   paid.effect = Effect::once;
   paid.floor = 1;
   paid.seats = 2;
   f.terms.roomTypes = {clip, paid};
-  f.terms.placesByKind = {20};
+  f.terms.slotsByKind = {20};
   f.terms.coldTime = 8 * second;
   f.terms.fallTime = 2 * second;
   f.terms.startCapacity = 0.4;
   f.terms.overloadFactor = 3;
-  f.terms.furtherJoins = FurtherJoins{2, 0.1, 5 * second};
+  f.terms.retryBudget = RetryBudget{2, 0.1, 5 * second};
   f.clientTimeouts = {4 * second, 3 * second};
   f.grace = 800 * ms;
   f.answerSlack = 500 * ms;
@@ -39,7 +39,7 @@
   s.director = "d0-x";
   s.subscription = sub;
   s.viewer = "v";
-  s.askKey = key;
+  s.idempotencyKey = key;
   s.title = "t";
   s.roomType = room;
   s.rung = 1;
@@ -52,7 +52,7 @@
   AskSeen a;
   a.at = at;
   a.viewer = "v";
-  a.askKey = key;
+  a.idempotencyKey = key;
   a.roomType = room;
   a.timeout = room == 1 ? 3 * second : 4 * second;
   a.answers = {{at + 30 * ms, kind}};
@@ -76,7 +76,7 @@
 
 std::vector<std::size_t> brokenBy(const Record& r) {
   std::vector<std::size_t> rules;
-  const auto rows = check(r, figures());
+  const auto rows = check(r, statistics());
   for (std::size_t i = 0; i < rows.size(); ++i)
     if (rows[i].broken > 0) rules.push_back(i + 1);
   return rules;
@@ -183,7 +183,7 @@
 
 TEST_CASE("Paid asks without a key are not one ask") {
   Record r = sound();
-  r.asks[0].askKey = r.setUps[0].askKey = "";
+  r.asks[0].idempotencyKey = r.setUps[0].idempotencyKey = "";
   r.setUps.push_back(setUp(20 * ms, 2, "d0-x-7", 1, ""));
   CHECK(brokenBy(r) == Rules{});
 }
--- a/tests/script_test.cpp
+++ b/tests/client_script_test.cpp
@@ -1,9 +1,9 @@
 // The judge of client libraries: each kind of difference and breach is found, and nothing else is.
 #include <catch2/catch.hpp>
 
-#include "script/script.h"
+#include "client_script/script.h"
 
-using namespace lupinsill::script;
+using namespace lupinsill::client_script;
 
 namespace {
 
--- a/tests/core_traces.cpp
+++ b/tests/core_traces.cpp
@@ -13,24 +13,24 @@
 
 namespace {
 
-Json jsonOf(const std::vector<Act>& acts) {
+Json jsonOf(const std::vector<Action>& acts) {
   Json out = Json::array();
-  for (const Act& act : acts)
-    if (const auto* t = std::get_if<Try>(&act))
+  for (const Action& act : acts)
+    if (const auto* t = std::get_if<StartAttempt>(&act))
       out.push_back({{"act", "try"},
-                     {"wish", t->wish},
+                     {"request", t->request},
                      {"attempt", t->attempt},
                      {"director", t->director},
                      {"key", t->key},
                      {"timeLeft", t->timeLeft}});
-    else if (const auto* a = std::get_if<Abandon>(&act))
+    else if (const auto* a = std::get_if<AbandonAttempt>(&act))
       out.push_back({{"act", "abandon"}, {"attempt", a->attempt}});
-    else if (const auto* g = std::get_if<Give>(&act))
+    else if (const auto* g = std::get_if<ReportResult>(&act))
       out.push_back({{"act", "give"},
-                     {"wish", g->wish},
+                     {"request", g->request},
                      {"result", nameOf(g->result)},
                      {"director", g->director},
-                     {"comeBackAfter", g->comeBackAfter}});
+                     {"retryAfter", g->retryAfter}});
   return out;
 }
 
@@ -42,38 +42,39 @@
   for (unsigned seed = from; seed < from + static_cast<unsigned>(sequences); ++seed) {
     std::minstd_rand chance(seed);
     const auto below = [&](unsigned n) { return static_cast<unsigned>(chance() / 7 % n); };
-    Manners manners;
+    RetryPolicy manners;
     manners.building = "north";
     Core core({{"a:1", "north"}, {"b:1", "north"}, {"c:1", "south"}}, manners, seed);
     Json events = Json::array();
     Micros now = 0;
-    WishId wishes = 0;
-    TryId tries = 0;
+    RequestId wishes = 0;
+    AttemptId tries = 0;
     for (int step = 0; step < 150; ++step) {
       now += below(400'000);
-      std::vector<Act> acts;
+      std::vector<Action> acts;
       Json event{{"now", now}};
-      const TryId attempt = tries == 0 ? 0 : tries - below(static_cast<unsigned>(std::min<TryId>(tries, 6)));
+      const AttemptId attempt =
+          tries == 0 ? 0 : tries - below(static_cast<unsigned>(std::min<AttemptId>(tries, 6)));
       switch (below(7)) {
         case 0: {
-          const Wish wish{++wishes, "k" + std::to_string(wishes), below(2) == 0,
-                          1'000 * (100 + below(12'000))};
-          event.update({{"event", "want"},
+          const Request wish{++wishes, "k" + std::to_string(wishes), below(2) == 0,
+                             1'000 * (100 + below(12'000))};
+          event.update({{"event", "submit"},
                         {"id", wish.id},
                         {"key", wish.key},
                         {"unsafe", wish.unsafe},
                         {"timeout", wish.timeout}});
-          core.want(now, wish, acts);
+          core.submit(now, wish, acts);
           break;
         }
         case 1: {
           const std::string director(1, static_cast<char>('a' + below(3)));
-          const Sending sending = core.sending(now, attempt, director);
-          event.update({{"event", "sending"}, {"attempt", attempt}, {"director", director}});
+          const SendParameters sending = core.beginSend(now, attempt, director);
+          event.update({{"event", "beginSend"}, {"attempt", attempt}, {"director", director}});
           if (!sending.key.empty()) {
             event["sending"] = {
-                {"key", sending.key}, {"again", sending.again}, {"timeLeft", sending.timeLeft}};
-            if (sending.againAge) event["sending"]["againAge"] = *sending.againAge;
+                {"key", sending.key}, {"again", sending.previousDirector}, {"timeLeft", sending.timeLeft}};
+            if (sending.sinceFirstSent) event["sending"]["againAge"] = *sending.sinceFirstSent;
           }
           break;
         }
@@ -98,7 +99,7 @@
         }
         case 4:
           if (below(10) == 0) {
-            const WishId wish = 1 + below(static_cast<unsigned>(wishes) + 1);
+            const RequestId wish = 1 + below(static_cast<unsigned>(wishes) + 1);
             event.update({{"event", "cancel"}, {"id", wish}});
             core.cancel(now, wish, acts);
             break;
@@ -108,8 +109,8 @@
           event["event"] = "tick";
           core.tick(now, acts);
       }
-      for (const Act& act : acts)
-        if (const auto* t = std::get_if<Try>(&act)) tries = std::max(tries, t->attempt);
+      for (const Action& act : acts)
+        if (const auto* t = std::get_if<StartAttempt>(&act)) tries = std::max(tries, t->attempt);
       event["acts"] = jsonOf(acts);
       event["due"] = std::min<Micros>(core.due(), 9007199254740991);
       events.push_back(std::move(event));
--- a/tests/director_test.cpp
+++ b/tests/director_test.cpp
@@ -411,22 +411,22 @@
 }
 
 struct Asked {
-  net::Base base{event_base_new()};
+  net::EventBase base{event_base_new()};
   client::SessionClient client;
   client::Heard heard;
   int results = 0, ends = 0;
   std::string end;
-  client::WishId wish = 0;
+  client::RequestId wish = 0;
   explicit Asked(std::vector<int> ports, bool grpc = false)
       : client(base.get(), grpc ? client::makeGrpc(base.get()) : client::makeWebSocket(base.get()), at(ports),
                manners(), 3) {}
-  static std::vector<client::DirectorAt> at(const std::vector<int>& ports) {
-    std::vector<client::DirectorAt> list;
+  static std::vector<client::DirectorEndpoint> at(const std::vector<int>& ports) {
+    std::vector<client::DirectorEndpoint> list;
     for (const int port : ports) list.push_back({"127.0.0.1:" + std::to_string(port), "here"});
     return list;
   }
-  static client::Manners manners() {
-    client::Manners m;
+  static client::RetryPolicy manners() {
+    client::RetryPolicy m;
     m.building = "here";
     return m;
   }
@@ -434,8 +434,8 @@
     client::Want want{"v", "t", room, room == "paid-class"};
     want.timeout = timeout;
     wish = client.ask(
-        want, [this](client::WishId, const client::Heard& h) { heard = h, ++results; },
-        [this](client::WishId, const std::string& why, client::Micros) { end = why, ++ends; });
+        want, [this](client::RequestId, const client::Heard& h) { heard = h, ++results; },
+        [this](client::RequestId, const std::string& why, client::Micros) { end = why, ++ends; });
   }
   void until(const std::function<bool()>& enough) { spin(base.get(), 15'000, enough); }
 };
@@ -514,35 +514,36 @@
   player.send(Socket::frame(askText("a", "paid-class")));
   const media::Message setUp = node.next(), play = node.next();
   // While the first join is out, and its socket cut.
-  const net::Base base(event_base_new());
-  struct Ear final : client::LinkEar {
+  const net::EventBase base(event_base_new());
+  struct Handler final : client::LinkHandler {
     std::unique_ptr<client::Link> link;
-    std::vector<player::AnswerMessage> answers;
+    std::vector<session_api::AnswerMessage> answers;
     void onHello(const std::string&) override {
-      player::AskMessage ask;
+      session_api::PlayMessage ask;
       ask.key = "front-1:k", ask.viewer = "v", ask.title = "t", ask.room = "paid-class";
       link->ask(ask);
     }
-    void onAnswer(const player::AnswerMessage& answer) override { answers.push_back(answer); }
+    void onAnswer(const session_api::AnswerMessage& answer) override { answers.push_back(answer); }
     void onLost(bool) override {}
   };
   // Twenty repeats at once, on one connection.
   const auto transport = client::makeGrpc(base.get());
-  std::vector<Ear> ears(20);
-  for (Ear& ear : ears) ear.link = transport->open("127.0.0.1:" + std::to_string(d.grpc), 3'000'000, ear);
+  std::vector<Handler> ears(20);
+  for (Handler& handler : ears)
+    handler.link = transport->open("127.0.0.1:" + std::to_string(d.grpc), 3'000'000, handler);
   spin(base.get(), 300, [] { return false; });
   shutdown(player.fd, SHUT_RDWR);
   node.answer(setUp, 200, "s1");
   node.answer(play, 200, "s1");
   const auto all = [&] {
-    return std::all_of(ears.begin(), ears.end(), [](const Ear& e) { return !e.answers.empty(); });
+    return std::all_of(ears.begin(), ears.end(), [](const Handler& e) { return !e.answers.empty(); });
   };
   spin(base.get(), 5000, all);
   REQUIRE(all());
-  for (const Ear& ear : ears) {
-    CHECK(ear.answers.size() == 1);
-    CHECK(ear.answers[0].said == player::Said::playing);
-    CHECK(ear.answers[0].subscription == ears[0].answers[0].subscription);
+  for (const Handler& handler : ears) {
+    CHECK(handler.answers.size() == 1);
+    CHECK(handler.answers[0].kind == session_api::AnswerKind::playing);
+    CHECK(handler.answers[0].subscription == ears[0].answers[0].subscription);
   }
   CHECK(has(d.page("/metrics"), "lupinsill_joins_total{join=\"first\"} 1"));
   // One that leaves ends it for none of the others.
@@ -598,14 +599,14 @@
   const net::Connect connect = [&](event_base* base, const std::string& host, int port) {
     return tls.connect(base, host, port);
   };
-  const net::Base base(event_base_new());
+  const net::EventBase base(event_base_new());
   client::SessionClient client(
       base.get(), grpc ? client::makeGrpc(base.get(), connect) : client::makeWebSocket(base.get(), connect),
       Asked::at({grpc ? d.grpc : d.players}), Asked::manners(), 5);
   std::optional<client::Result> result;
   client::Want want{"v", "t", "recipe-clip"};
   want.timeout = 2'000'000;
-  client.ask(want, [&](client::WishId, const client::Heard& heard) { result = heard.result; });
+  client.ask(want, [&](client::RequestId, const client::Heard& heard) { result = heard.result; });
   spin(base.get(), 6000, [&] { return result.has_value(); });
   REQUIRE(result.has_value());
   return *result;
--- a/tests/roster_test.cpp
+++ b/tests/discovery_test.cpp
@@ -1,10 +1,10 @@
 // The name server's answers: what is read, and what is no whole answer.
-#include "roster_test.h"
+#include "discovery_test.h"
 
 #include <catch2/catch.hpp>
 #include <random>
 
-#include "roster/dns.h"
+#include "discovery/dns.h"
 
 using namespace lupinsill;
 using tests::DnsWriter;
@@ -17,11 +17,11 @@
 }  // namespace
 
 TEST_CASE("A whole list is read, its names compressed") {
-  const auto answer = roster::read(DnsWriter::answer(77, 41, two), service);
+  const auto answer = discovery::read(DnsWriter::answer(77, 41, two), service);
   REQUIRE(answer);
   CHECK((answer->number == 77 && answer->serial == 41));
   REQUIRE(answer->rows.size() == 2);
-  const roster::Row& first = answer->rows[0];
+  const discovery::Row& first = answer->rows[0];
   CHECK((first.name == "s-00c41f7a" && first.zone == "east" && first.kind == "std"));
   CHECK((first.host == "10.1.0.9" && first.port == 5070 && first.cell == 2 && first.weight == 4));
   CHECK((!first.draining && first.startedMs == 0));
@@ -30,13 +30,14 @@
 
 TEST_CASE("Failures, other questions and cut answers are none") {
   const std::string good = DnsWriter::answer(77, 41, two);
-  CHECK(!roster::read(DnsWriter::answer(77, 41, two, 2), service));
-  CHECK(!roster::read(DnsWriter::answer(77, 41, two, 0, "_other._tcp.svc.local"), service));
-  CHECK(!roster::read(roster::question(77, service), service));
-  for (std::size_t size = 0; size < good.size(); ++size) CHECK(!roster::read(good.substr(0, size), service));
+  CHECK(!discovery::read(DnsWriter::answer(77, 41, two, 2), service));
+  CHECK(!discovery::read(DnsWriter::answer(77, 41, two, 0, "_other._tcp.svc.local"), service));
+  CHECK(!discovery::read(discovery::question(77, service), service));
+  for (std::size_t size = 0; size < good.size(); ++size)
+    CHECK(!discovery::read(good.substr(0, size), service));
   std::string truncated = good;
   truncated[2] = static_cast<char>(truncated[2] | 2);
-  CHECK(!roster::read(truncated, service));
+  CHECK(!discovery::read(truncated, service));
 }
 
 TEST_CASE("Noise is read or refused, never anything else") {
@@ -47,7 +48,7 @@
     std::string bytes = good;
     for (unsigned n = chance() % 6 + 1; n > 0; --n)
       bytes[chance() % bytes.size()] = static_cast<char>(chance());
-    if (!roster::read(bytes, service)) ++refused;
+    if (!discovery::read(bytes, service)) ++refused;
   }
   CHECK(refused > 1'000);
 }
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -32,8 +32,8 @@
   double perSecond;  // asks of the mean director; one in five sees three times that
 };
 
-Terms termsOf(const Case& c, int ordinal) {
-  Terms t;
+ControlSettings parseControlSettings(const Case& c, int ordinal) {
+  ControlSettings t;
   RoomType clip;
   clip.joinObjective = second;
   clip.top = 2;
@@ -42,19 +42,19 @@
   t.roomTypes = {clip, paid};
   t.ladderKb = {100, 200, 400};
   t.rungBenefit = {0.3, 0.6, 1};
-  t.placesByKind = {c.places};
+  t.slotsByKind = {c.places};
   t.directors = c.directors;
   t.ordinal = ordinal;
   t.cells = 1;
   t.racks = 1;
   t.maxJoins = 3;
-  t.weightKb = t.allLinksKb = t.rackKb = 1e6;  // links are no limit here: the pace alone is
+  t.weightKb = t.totalLinkKb = t.rackUplinkKb = 1e6;  // links are no limit here: the pace alone is
   t.startCapacity = c.startCapacity;
   t.overloadFactor = c.overloadFactor;
   t.coldTime = 8 * second;
   t.fallTime = c.fallTime;
   t.seenAfter = 300 * ms;
-  t.reportsEvery = second;
+  t.reportInterval = second;
   t.maxRetryAfter = 500 * ms;
   t.retryAfter = true;
   return t;
@@ -79,21 +79,21 @@
   for (std::size_t i = 0; i < fleet.size(); ++i) {
     Director& d = fleet[i];
     d.front = std::make_unique<Front>(
-        termsOf(c, static_cast<int>(i)),
-        Bounds{2 * second, 10 * ms, 300 * ms, 0, 0, 1000, 1000, false, 5000, true, 0},
-        std::make_unique<ByControl>(termsOf(c, static_cast<int>(i)), seed * 1000 + i));
+        parseControlSettings(c, static_cast<int>(i)),
+        Limits{2 * second, 10 * ms, 300 * ms, 0, 0, 1000, 1000, false, 5000, true, 0},
+        std::make_unique<ControlDecider>(parseControlSettings(c, static_cast<int>(i)), seed * 1000 + i));
     d.rate = c.perSecond * (i % 5 == 0 ? 3 : 0.5);
     d.bornAt = c.restarted ? start + span(300 * ms) : 10 * ms;
     d.toldAt = start + 400 * ms + (c.lateLists ? span(1500 * ms) : span(100 * ms));
   }
   struct Write {
     std::size_t director;
-    JoinKey join;
+    JoinId join;
   };
   std::multimap<Micros, Write> writes, answers, ends;
   std::vector<Micros> sent;
-  std::vector<Order> orders;
-  Line line = 0;
+  std::vector<Command> orders;
+  CallId callId = 0;
   constexpr Micros step = 5 * ms;
   for (Micros now = 10 * ms; now < start + 8 * second; now += step) {
     const auto due = [&](std::multimap<Micros, Write>& at, auto act) {
@@ -104,32 +104,33 @@
       }
     };
     due(writes, [&](const Write& w) {
-      if (!fleet[w.director].front->leaves(now, w.join))
-        return fleet[w.director].front->ended(w.join, Outcome::moot, {});
+      if (!fleet[w.director].front->mayWrite(now, w.join))
+        return fleet[w.director].front->joinEnded(w.join, Outcome::notSent, {});
       sent.push_back(now);
       answers.emplace(now + 30 * ms, w);
     });
     due(answers, [&](const Write& w) {
-      fleet[w.director].front->began(w.join);
+      fleet[w.director].front->joinStarted(w.join);
       ends.emplace(now + 4 * second, w);
     });
-    due(ends, [&](const Write& w) { fleet[w.director].front->ended(w.join, Outcome::ok, {}, true); });
+    due(ends, [&](const Write& w) { fleet[w.director].front->joinEnded(w.join, Outcome::ok, {}, true); });
     for (std::size_t i = 0; i < fleet.size(); ++i) {
       Director& d = fleet[i];
       if (now < d.bornAt) continue;
       if (!d.told && now >= d.toldAt) {
         d.told = true;
-        d.front->told({ListKind::total, {{1, NodeState::ready, 0, 1, 0, start, "a"}}});
+        d.front->listUpdated({ListKind::snapshot, {{1, NodeState::ready, 0, 1, 0, start, "a"}}});
       }
       d.owed +=
           d.rate * static_cast<double>(step) / second * (0.5 + static_cast<double>(draw() % 1000) / 1000);
       for (; d.owed >= 1; d.owed -= 1)
-        d.front->ask({++line, "", "v" + std::to_string(line), "t" + std::to_string(line % 20),
-                      static_cast<int>(line % 2), -1, 0, 1, 2, 3 * second, Ask::Again::no, std::nullopt});
+        d.front->submit({++callId, "", "v" + std::to_string(callId), "t" + std::to_string(callId % 20),
+                         static_cast<int>(callId % 2), -1, 0, 1, 2, 3 * second, PlayRequest::Repeat::no,
+                         std::nullopt});
       if (now < d.front->due()) continue;
       orders.clear();
-      d.front->turn(now, orders);
-      for (const Order& order : orders)
+      d.front->processTurn(now, orders);
+      for (const Command& order : orders)
         if (const auto* out = std::get_if<SetUp>(&order)) {
           Micros at = now + 2 * ms;
           if (c.connections == Connections::late) at = now + span(second);
--- a/tests/grpc_test.cpp
+++ b/tests/grpc_test.cpp
@@ -44,8 +44,8 @@
 }
 
 TEST_CASE("A throttle may be tried again by gRPC itself when we say; nothing else may") {
-  player::AnswerMessage answer;
-  answer.said = player::Said::throttled;
+  session_api::AnswerMessage answer;
+  answer.kind = session_api::AnswerKind::throttled;
   answer.reason = "no-room";
   answer.retryAfter = 250'001;
   Headers headers = trailersOf(answer);
@@ -53,20 +53,20 @@
   CHECK(valueOf(headers, "grpc-retry-pushback-ms") == "251");
   const Trailers back = readTrailers(headers);
   CHECK(back.ours);
-  CHECK(back.answer.said == player::Said::throttled);
+  CHECK(back.answer.kind == session_api::AnswerKind::throttled);
   CHECK(back.answer.reason == "no-room");
   CHECK(back.answer.retryAfter == 251'000);
   for (const char* reason : {"may-have-run", "ended", "elsewhere", "failed"}) {
-    answer.said = player::Said::terminated;
+    answer.kind = session_api::AnswerKind::terminated;
     answer.reason = reason;
     headers = trailersOf(answer);
     CHECK(valueOf(headers, "grpc-retry-pushback-ms") == "-1");
-    CHECK(readTrailers(headers).answer.said == player::Said::terminated);
+    CHECK(readTrailers(headers).answer.kind == session_api::AnswerKind::terminated);
   }
 }
 
 TEST_CASE("Bad words of players are named, good ones come back as they were") {
-  player::AskMessage ask;
+  session_api::PlayMessage ask;
   ask.key = "front-1:k", ask.viewer = "v", ask.title = "t", ask.room = "r", ask.top = 3,
   ask.timeout = 5'000'000;
   PlayerWord word = readPlayerWord(bytesOf(ask));
@@ -87,6 +87,6 @@
     const PlayerWord bent = readPlayerWord(bytes);
     if (bent.kind != PlayerWord::Kind::ask) continue;
     for (const std::string& one : {bent.ask.key, bent.ask.viewer, bent.ask.title, bent.ask.room})
-      REQUIRE(player::faultOf(one, true) == nullptr);
+      REQUIRE(session_api::fieldError(one, true) == nullptr);
   }
 }
--- a/tests/ledger_test.cpp
+++ b/tests/ledger_test.cpp
@@ -15,13 +15,13 @@
 TEST_CASE("An intent counts once it is durable; marks of one batch are one write") {
   Ledger ledger(60 * second, 10, true);
   const Digest a = digestOf("a"), b = digestOf("b");
-  const Seq first = ledger.intend(0, a);
-  const Seq second_ = ledger.intend(0, b);
+  const Seq first = ledger.recordIntent(0, a);
+  const Seq second_ = ledger.recordIntent(0, b);
   CHECK_FALSE(ledger.isDurable(first));
-  ledger.mark(0, a, Mark::played);
+  ledger.mark(0, a, RecordState::played);
   const auto writes = ledger.takeWrites();
   REQUIRE(writes.size() == 2);
-  CHECK(writes[0].record.mark == Mark::played);
+  CHECK(writes[0].record.mark == RecordState::played);
   ledger.durable(second_);
   CHECK(ledger.isDurable(first));
   CHECK(ledger.takeWrites().empty());
@@ -32,16 +32,16 @@
     "it") {
   Ledger ledger(60 * second, 10, false);
   const Digest a = digestOf("a");
-  ledger.intend(0, a);
-  CHECK(ledger.knows(1, a, false) == Known::mayHaveRun);
-  ledger.mark(1, a, Mark::refused);
-  CHECK(ledger.knows(1, a, false) == Known::nothing);
-  ledger.intend(2, a);
-  ledger.mark(3, a, Mark::played);
-  ledger.mark(4, a, Mark::refused);
-  CHECK(ledger.knows(4, a, false) == Known::played);
+  ledger.recordIntent(0, a);
+  CHECK(ledger.lookup(1, a, false) == LookupResult::mayHaveRun);
+  ledger.mark(1, a, RecordState::refused);
+  CHECK(ledger.lookup(1, a, false) == LookupResult::nothing);
+  ledger.recordIntent(2, a);
+  ledger.mark(3, a, RecordState::played);
+  ledger.mark(4, a, RecordState::refused);
+  CHECK(ledger.lookup(4, a, false) == LookupResult::played);
   ledger.expire(60 * second);
-  CHECK(ledger.knows(60 * second, a, false) == Known::played);
+  CHECK(ledger.lookup(60 * second, a, false) == LookupResult::played);
   ledger.expire(61 * second);
   CHECK(ledger.size() == 0);
 }
@@ -50,14 +50,14 @@
   Ledger ledger(60 * second, 10, true);
   const Digest a = digestOf("a"), b = digestOf("b"), c = digestOf("c"), d = digestOf("d");
   ledger.recover(100 * second,
-                 {{a, Mark::intent, 130 * second},
-                  {b, Mark::played, 110 * second},
-                  {c, Mark::over, 99 * second},
-                  {d, Mark::mayHaveRun, 9'000 * second}},
+                 {{a, RecordState::intent, 130 * second},
+                  {b, RecordState::played, 110 * second},
+                  {c, RecordState::over, 99 * second},
+                  {d, RecordState::mayHaveRun, 9'000 * second}},
                  true);
-  CHECK(ledger.knows(100 * second, a, false) == Known::mayHaveRun);
-  CHECK(ledger.knows(100 * second, b, false) == Known::played);
-  CHECK(ledger.knows(100 * second, c, false) == Known::nothing);
+  CHECK(ledger.lookup(100 * second, a, false) == LookupResult::mayHaveRun);
+  CHECK(ledger.lookup(100 * second, b, false) == LookupResult::played);
+  CHECK(ledger.lookup(100 * second, c, false) == LookupResult::nothing);
   ledger.expire(111 * second);
   CHECK(ledger.size() == 2);
   ledger.expire(160 * second);
@@ -68,17 +68,17 @@
   Ledger ledger(60 * second, 10, true);
   ledger.recover(0, {}, false);
   const Digest a = digestOf("a");
-  CHECK(ledger.knows(59 * second, a, true) == Known::mayHaveRun);
-  CHECK(ledger.knows(59 * second, a, false) == Known::nothing);
-  CHECK(ledger.knows(60 * second, a, true) == Known::nothing);
+  CHECK(ledger.lookup(59 * second, a, true) == LookupResult::mayHaveRun);
+  CHECK(ledger.lookup(59 * second, a, false) == LookupResult::nothing);
+  CHECK(ledger.lookup(60 * second, a, true) == LookupResult::nothing);
 }
 
 TEST_CASE(
     "Random lives with kills at any point: no key that may have run is ever free again within its memory") {
   for (unsigned seed = 1; seed <= 3000; ++seed) {
     std::minstd_rand chance(seed);
-    std::map<int, Mark> disk;  // what a store would hold
-    std::map<int, bool> left;  // keys whose join has left and not been refused
+    std::map<int, RecordState> disk;  // what a store would hold
+    std::map<int, bool> left;         // keys whose join has left and not been refused
     auto ledger = std::make_unique<Ledger>(1000 * second, 100, true);
     std::map<int, Seq> waiting;
     std::vector<std::pair<int, Write>> unwritten;
@@ -91,27 +91,28 @@
       const Digest key = digestOf(std::to_string(k));
       switch (chance() / 3 % 6) {
         case 0:
-          if (ledger->knows(now, key, true) == Known::nothing) {
+          if (ledger->lookup(now, key, true) == LookupResult::nothing) {
             REQUIRE_FALSE(left[k]);  // else it would be set up twice
-            waiting[k] = ledger->intend(now, key);
+            waiting[k] = ledger->recordIntent(now, key);
           }
           break;
         case 1:
           if (waiting.contains(k) && ledger->isDurable(waiting[k])) left[k] = true, waiting.erase(k);
           break;
         case 2:
-          if (left[k]) ledger->mark(now, key, Mark::played);
+          if (left[k]) ledger->mark(now, key, RecordState::played);
           break;
         case 3:
-          if (left[k] && ledger->knows(now, key, false) == Known::mayHaveRun && chance() / 3 % 2 == 0) {
-            ledger->mark(now, key, Mark::refused);
+          if (left[k] && ledger->lookup(now, key, false) == LookupResult::mayHaveRun &&
+              chance() / 3 % 2 == 0) {
+            ledger->mark(now, key, RecordState::refused);
             left[k] = false;
           }
           break;
         case 4:  // the store commits all it has
           for (const Write& w : ledger->takeWrites()) {
             const int name = names[w.record.key];
-            if (w.record.mark == Mark::refused)
+            if (w.record.mark == RecordState::refused)
               disk.erase(name);
             else
               disk[name] = w.record.mark;
@@ -143,11 +144,11 @@
   Ledger next(60 * second, 10, true);
   next.recover(10 * second, {writes[0].record}, true);
   const Digest a = digestOf("a");
-  CHECK(next.knows(11 * second, a, true) == Known::mayHaveRun);
-  CHECK(next.knows(11 * second, a, false) == Known::nothing);
+  CHECK(next.lookup(11 * second, a, true) == LookupResult::mayHaveRun);
+  CHECK(next.lookup(11 * second, a, false) == LookupResult::nothing);
   // First sent before the loss, and after it.
-  CHECK(next.knows(11 * second, a, true, -1) == Known::mayHaveRun);
-  CHECK(next.knows(11 * second, a, true, 0) == Known::nothing);
-  CHECK(next.knows(60 * second, a, true) == Known::nothing);
+  CHECK(next.lookup(11 * second, a, true, -1) == LookupResult::mayHaveRun);
+  CHECK(next.lookup(11 * second, a, true, 0) == LookupResult::nothing);
+  CHECK(next.lookup(60 * second, a, true) == LookupResult::nothing);
   CHECK(next.size() == 0);
 }
--- a/tests/messages_test.cpp
+++ b/tests/messages_test.cpp
@@ -35,20 +35,20 @@
 }
 
 TEST_CASE("Messages come back as they were") {
-  AskMessage ask{"a1", "key", "viewer", "title", "paid-class", "", 4, 3'000'000, 60'000'000, "front-2"};
-  const auto back = std::get<AskMessage>(readPlayerMessage(textOf(ask)));
+  PlayMessage ask{"a1", "key", "viewer", "title", "paid-class", "", 4, 3'000'000, 60'000'000, "front-2"};
+  const auto back = std::get<PlayMessage>(readPlayerMessage(textOf(ask)));
   CHECK(back.key == "key");
   CHECK(back.top == 4);
-  CHECK(back.again == "front-2");
+  CHECK(back.previousDirector == "front-2");
   CHECK(*back.timeout == 3'000'000);
   CHECK(*back.length == 60'000'000);
   AnswerMessage answer;
-  answer.said = Said::throttled;
+  answer.kind = AnswerKind::throttled;
   answer.id = "a1";
   answer.reason = "no-room";
   answer.retryAfter = 500'001;
   const AnswerMessage heard = readAnswer(textOf(answer));
-  CHECK(heard.said == Said::throttled);
+  CHECK(heard.kind == AnswerKind::throttled);
   CHECK(heard.retryAfter == 501'000);
 }
 
--- a/tests/platform_rig.h
+++ b/tests/platform_rig.h
@@ -23,8 +23,8 @@
 #include <set>
 #include <thread>
 
+#include "discovery_test.h"
 #include "jsonl/message.h"
-#include "roster_test.h"
 
 namespace lupinsill::tests {
 
--- a/tests/play.cpp
+++ b/tests/play.cpp
@@ -62,17 +62,17 @@
   explicit Scenario(const std::filesystem::path& file) : file_(file) {
     terms_.ladderKb = {100, 200, 400, 800};
     terms_.rungBenefit = {0.25, 0.45, 0.7, 1};
-    terms_.placesByKind = {40};
+    terms_.slotsByKind = {40};
     terms_.zone = "a";
     terms_.cells = 100;
     terms_.racks = 100;
     terms_.maxJoins = 3;
     terms_.weightKb = 10000;
-    terms_.rackKb = 1000000;
+    terms_.rackUplinkKb = 1000000;
     terms_.startCapacity = 0.5;
     terms_.overloadFactor = 2;
     terms_.seenAfter = 500'000;
-    terms_.reportsEvery = 3'000'000;
+    terms_.reportInterval = 3'000'000;
     terms_.maxRetryAfter = 1'000'000;
     terms_.retryAfter = terms_.cancelling = true;
   }
@@ -114,23 +114,23 @@
     terms_.maxJoins = l.whole("joins", terms_.maxJoins);
     terms_.cells = l.whole("cells", terms_.cells);
     terms_.racks = l.whole("racks", terms_.racks);
-    terms_.rackKb = l.number("rackKb", terms_.rackKb);
+    terms_.rackUplinkKb = l.number("rackKb", terms_.rackUplinkKb);
     terms_.weightKb = l.number("weightKb", terms_.weightKb);
-    terms_.refusesFrom = l.number("refusesFrom", terms_.refusesFrom);
+    terms_.refusalThreshold = l.number("refusesFrom", terms_.refusalThreshold);
     terms_.overloadFactor = l.number("overload", terms_.overloadFactor);
     terms_.switchSeconds = l.number("switch", terms_.switchSeconds);
     terms_.coldTime = l.ms("cold", static_cast<double>(terms_.coldTime) / 1000);
     terms_.fallTime = l.ms("fall", static_cast<double>(terms_.fallTime) / 1000);
     terms_.seenAfter = l.ms("seen", static_cast<double>(terms_.seenAfter) / 1000);
-    terms_.reportsEvery = l.ms("reports", static_cast<double>(terms_.reportsEvery) / 1000);
+    terms_.reportInterval = l.ms("reports", static_cast<double>(terms_.reportInterval) / 1000);
     terms_.retryAfter = l.whole("retryAfter", terms_.retryAfter) != 0;
     terms_.uplinksReported = l.whole("uplinks", terms_.uplinksReported) != 0;
     terms_.listOnRequest = l.whole("onRequest", terms_.listOnRequest) != 0;
     if (l.has("ladder")) terms_.ladderKb = numbers(l.text("ladder"));
     if (l.has("benefit")) terms_.rungBenefit = numbers(l.text("benefit"));
-    if (l.has("places")) terms_.placesByKind = {l.whole("places")};
+    if (l.has("places")) terms_.slotsByKind = {l.whole("places")};
     if (l.has("further"))
-      terms_.furtherJoins = FurtherJoins{l.whole("few"), l.number("further"), l.ms("window")};
+      terms_.retryBudget = RetryBudget{l.whole("few"), l.number("further"), l.ms("window")};
   }
 
   void readRoom(const Line& l) {
@@ -164,14 +164,14 @@
     told_.push_back(entry);
   }
 
-  SubId sub(const std::string& name) {
+  SubscriptionId sub(const std::string& name) {
     const auto [it, fresh] = subs_.try_emplace(name, subs_.size() + 1);
     if (fresh) names_[it->second] = name;
     return it->second;
   }
 
-  Viewing viewing(const Line& l) {
-    Viewing v;
+  SubscriptionInfo viewing(const Line& l) {
+    SubscriptionInfo v;
     v.sub = sub(l.words.at(1));
     const auto it = std::find(rooms_.begin(), rooms_.end(), l.text("room", rooms_.at(0)));
     REQUIRE(it != rooms_.end());
@@ -182,7 +182,7 @@
     v.firstCell = l.whole("cell", 0);
     v.holders = l.whole("holders", terms_.cells);
     v.top = l.whole("top", 3);
-    v.giveUpAt = now_ + l.ms("timeout", 4000);
+    v.deadline = now_ + l.ms("timeout", 4000);
     v.party = l.whole("party", -1);
     v.moved = l.whole("moved", 0) != 0;
     if (l.has("length")) v.length = l.ms("length");
@@ -193,32 +193,33 @@
     const std::string& verb = l.words.at(0);
     if (verb == "told") {
       const auto kind = pick<ListKind>(l.words.at(1), {{"changes", ListKind::changes},
-                                                       {"total", ListKind::total},
-                                                       {"warm", ListKind::warmCopy},
+                                                       {"total", ListKind::snapshot},
+                                                       {"warm", ListKind::cachedSnapshot},
                                                        {"lost", ListKind::lost}});
-      return send(ListTold{kind, std::exchange(told_, {})});
+      return send(ListUpdate{kind, std::exchange(told_, {})});
     }
-    if (verb == "request") return send(Requested{viewing(l)});
+    if (verb == "request") return send(SubscriptionRequested{viewing(l)});
     if (verb == "serve") {  // a request, and at once the start of what it led to
-      send(Requested{viewing(l)});
-      if (at_.count(sub(l.words.at(1))) != 0) send(Began{sub(l.words.at(1)), joins_[sub(l.words.at(1))] - 1});
+      send(SubscriptionRequested{viewing(l)});
+      if (at_.count(sub(l.words.at(1))) != 0)
+        send(JoinStarted{sub(l.words.at(1)), joins_[sub(l.words.at(1))] - 1});
       return;
     }
     if (verb == "underway") {
       joins_[sub(l.words.at(1))] = 1;
       at_[sub(l.words.at(1))].second = true;
-      return send(UnderWay{viewing(l), nodeOf(l, 2)});
+      return send(SubscriptionAdopted{viewing(l), nodeOf(l, 2)});
     }
     if (verb == "began") {
       at_[sub(l.words.at(1))].second = true;
-      return send(Began{sub(l.words.at(1)), joins_[sub(l.words.at(1))] - 1});
+      return send(JoinStarted{sub(l.words.at(1)), joins_[sub(l.words.at(1))] - 1});
     }
     if (verb == "note") {
-      const auto reading = pick<Reading>(l.words.at(2), {{"delivered", Reading::delivered},
-                                                         {"rung", Reading::rung},
-                                                         {"link", Reading::link},
-                                                         {"uplink", Reading::uplink}});
-      return send(Noted{sub(l.words.at(1)), nodeOf(l, 99), reading, std::stod(l.words.at(3))});
+      const auto reading = pick<MeasurementKind>(l.words.at(2), {{"delivered", MeasurementKind::delivered},
+                                                                 {"rung", MeasurementKind::rung},
+                                                                 {"link", MeasurementKind::link},
+                                                                 {"uplink", MeasurementKind::uplink}});
+      return send(MeasurementReported{sub(l.words.at(1)), nodeOf(l, 99), reading, std::stod(l.words.at(3))});
     }
     if (verb == "ended") {
       const auto outcome = pick<Outcome>(l.words.at(2), {{"ok", Outcome::ok},
@@ -228,7 +229,7 @@
                                                          {"connectFailed", Outcome::connectFailed},
                                                          {"reset", Outcome::reset},
                                                          {"cancelled", Outcome::cancelled},
-                                                         {"moot", Outcome::moot}});
+                                                         {"moot", Outcome::notSent}});
       LoadReport report;
       if (l.has("share")) report.linkShare = l.number("share");
       if (l.has("use")) report.linkUse = l.number("use");
@@ -238,7 +239,7 @@
                             l.whole("join", joins_[sub(l.words.at(1))] - 1), outcome,
                             l.whole("settled", playing || outcome == Outcome::ok) != 0, report});
     }
-    if (verb == "lapsed") return send(Lapsed{sub(l.words.at(1))});
+    if (verb == "lapsed") return send(SubscriptionAbandoned{sub(l.words.at(1))});
     FAIL("unknown verb " << verb);
   }
 
@@ -267,14 +268,15 @@
     if (const auto* a = std::get_if<Join>(&action)) {
       at_[a->sub] = {a->node, false};
       ++joins_[a->sub];
-      text << "join " << names_[a->sub] << ' ' << a->node << ' ' << a->patience / 1000;
+      text << "join " << names_[a->sub] << ' ' << a->node << ' ' << a->timeout / 1000;
     }
-    if (const auto* a = std::get_if<CallOff>(&action)) text << "calloff " << names_[a->sub] << ' ' << a->join;
+    if (const auto* a = std::get_if<CancelJoin>(&action))
+      text << "calloff " << names_[a->sub] << ' ' << a->join;
     if (const auto* a = std::get_if<Throttle>(&action))
       text << "throttle " << names_[a->sub] << ' ' << a->retryAfter / 1000;
     if (const auto* a = std::get_if<Terminate>(&action)) text << "terminate " << names_[a->sub];
-    if (std::holds_alternative<FollowList>(action)) text << "follow";
-    if (const auto* a = std::get_if<SetAlarm>(&action)) {
+    if (std::holds_alternative<WatchList>(action)) text << "follow";
+    if (const auto* a = std::get_if<SetTimer>(&action)) {
       alarms_.emplace(now_ + a->span, a->key);
       return;
     }
@@ -287,7 +289,7 @@
       const auto [at, key] = *alarms_.begin();
       alarms_.erase(alarms_.begin());
       now_ = at;
-      if (control_) send(AlarmRang{key});
+      if (control_) send(TimerFired{key});
     }
     now_ = until;
   }
@@ -344,14 +346,14 @@
   }
 
   std::filesystem::path file_;
-  Terms terms_;
+  ControlSettings terms_;
   std::optional<Control> control_;
   Micros now_ = 1'000'000'000;
   std::vector<ListEntry> told_;
-  std::map<std::string, SubId> subs_;
-  std::map<SubId, std::string> names_;
-  std::map<SubId, std::pair<NodeId, bool>> at_;
-  std::map<SubId, int> joins_;
+  std::map<std::string, SubscriptionId> subs_;
+  std::map<SubscriptionId, std::string> names_;
+  std::map<SubscriptionId, std::pair<NodeId, bool>> at_;
+  std::map<SubscriptionId, int> joins_;
   std::vector<std::string> rooms_;
   std::vector<Event> turn_;  // what waits for the director's turn while it stands still
   bool standing_ = false;
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -56,7 +56,7 @@
   CHECK(d.bounds.answerMargin == 150'000);
   CHECK(d.listFile == std::string(EXAMPLES) + "/small-nodes.xml");
   CHECK(shown(EXAMPLES "/small.xml").find("orphan-hold=\"5s\"") != std::string::npos);
-  CHECK(readNodes(d.listFile, d, 0).boxes.size() == 2);
+  CHECK(readNodes(d.listFile, d, 0).endpoints.size() == 2);
 }
 
 TEST_CASE("A mistake names line, element and what was expected") {
@@ -80,7 +80,7 @@
   next.lookEvery = 5;
   CHECK(unsafeChanges(now, next).empty());
   next.terms.roomTypes[1].seats = 9;
-  next.terms.furtherJoins = FurtherJoins{1, 0, 1};
+  next.terms.retryBudget = RetryBudget{1, 0, 1};
   CHECK(unsafeChanges(now, next) == std::vector<std::string>{"room-types", "rules"});
 }
 
@@ -96,8 +96,8 @@
   const auto word = read(
       node +
       R"(state="draining" started="1970-01-01T00:00:02.5Z"/><title name="t" first-cell="1" holders="9"/>)");
-  CHECK(word.boxes[0].state == NodeState::draining);
-  CHECK(word.boxes[0].readyAt == 1'500'000);
+  CHECK(word.endpoints[0].state == NodeState::draining);
+  CHECK(word.endpoints[0].readyAt == 1'500'000);
   CHECK(word.titles.at("t").holders == 2);
   CHECK_THROWS_AS(read(node + "/>" + node + "/>"), BadSettings);
   CHECK_THROWS_AS(read(R"(<node id="1" address="127.0.0.1:1" kind="other" zone="z" cell="0"/>)"),
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -19,7 +19,7 @@
   ~Folder() { std::filesystem::remove_all(path); }
 };
 
-void put(store::Store& s, ledger::Seq seq, const std::string& key, ledger::Mark mark) {
+void put(store::Store& s, ledger::Seq seq, const std::string& key, ledger::RecordState mark) {
   s.write({{seq, {ledger::digestOf(key), mark, 5'000'000'000'000'000}}});
   for (int i = 0; i < 500 && s.durable() < seq; ++i)
     std::this_thread::sleep_for(std::chrono::milliseconds(5));
@@ -34,9 +34,9 @@
   {
     store::Store s(file, 4, 0, [] {});
     CHECK(s.found().whole);
-    put(s, 1, "a", ledger::Mark::intent);
-    put(s, 2, "b", ledger::Mark::intent);
-    put(s, 3, "b", ledger::Mark::refused);
+    put(s, 1, "a", ledger::RecordState::intent);
+    put(s, 2, "b", ledger::RecordState::intent);
+    put(s, 3, "b", ledger::RecordState::refused);
   }
   // LMDB wants a file open once a process: a look at it comes from the outside, or before.
   CHECK(store::list(file).records.size() == 1);
@@ -51,8 +51,8 @@
   const std::string file = folder.path + "/l.mdb";
   {
     store::Store s(file, 4, 0, [] {});
-    put(s, 1, "a", ledger::Mark::played);
-    put(s, 2, "b", ledger::Mark::intent);
+    put(s, 1, "a", ledger::RecordState::played);
+    put(s, 2, "b", ledger::RecordState::intent);
   }
   SECTION("overwritten from the start") {
     std::ofstream(file, std::ios::in | std::ios::binary) << std::string(9000, 'x');
@@ -75,5 +75,5 @@
   for (const auto& entry : std::filesystem::directory_iterator(folder.path))
     aside = aside || entry.path().string().find(".damaged-") != std::string::npos;
   CHECK(aside);
-  put(s, 1, "c", ledger::Mark::intent);
+  put(s, 1, "c", ledger::RecordState::intent);
 }
