--- a/client/core/core.cpp
+++ b/client/core/core.cpp
@@ -209,7 +209,7 @@
       if (known.shunUntil < freeAt) freeAt = known.shunUntil, soonest = i;
       continue;
     }
-    (known.at.building == manners_.building ? near : far).push_back(i);
+    (known.at.zone == manners_.zone ? near : far).push_back(i);
   }
   const std::vector<std::size_t>& from = near.empty() ? far : near;
   // Guards against a client that turns its viewers away unasked: where every director fails some asks, all of
--- a/client/core/core.h
+++ b/client/core/core.h
@@ -31,12 +31,12 @@
 
 struct DirectorEndpoint {
   std::string address;  // host:port, as the transport reads it
-  std::string building;
+  std::string zone;
 };
 
 // How a client behaves; the defaults suit an app that a person waits in front of.
 struct RetryPolicy {
-  std::string building;         // its own
+  std::string zone;             // its own
   Micros minBackoff = 100'000;  // the first wait where nobody said how long; doubles
   Micros maxBackoff = 16'000'000;
   int minRetries = 3;        // tries beyond the first, in a window
--- a/client/grpc/transport.cpp
+++ b/client/grpc/transport.cpp
@@ -61,7 +61,7 @@
   GrpcLink(Grpc& owner, Wire* at, LinkHandler& to) : wire(at), handler(to), owner_(owner) {}
   ~GrpcLink() override { owner_.drop(*this); }
 
-  void ask(const session_api::PlayMessage& message) override {
+  void sendPlay(const session_api::PlayMessage& message) override {
     if (wire == nullptr || stream != 0) return;
     stream = wire->http->request({{":method", "POST"},
                                   {":scheme", "http"},
--- a/client/session/session_client.cpp
+++ b/client/session/session_client.cpp
@@ -11,8 +11,8 @@
 }
 
 struct SessionClient::Wished {
-  Want want;
-  Heard last;
+  SubscriptionRequest want;
+  SubscriptionResult last;
   AttemptId plays = 0;
   bool over = false;
   OnResult onResult;
@@ -40,7 +40,8 @@
 }
 SessionClient::~SessionClient() = default;
 
-RequestId SessionClient::ask(const Want& want, OnResult onResult, OnEnd onEnd, OnRung onRung) {
+RequestId SessionClient::subscribe(const SubscriptionRequest& want, OnResult onResult, OnEnd onEnd,
+                                   OnRung onRung) {
   const RequestId id = ++next_;
   auto wished = std::make_unique<Wished>();
   wished->want = want;
@@ -83,9 +84,9 @@
         const auto it = wishes_.find(give.request);
         if (it == wishes_.end()) continue;
         Wished& wished = *it->second;
-        Heard heard = wished.last;
+        SubscriptionResult heard = wished.last;
         heard.result = give.result;
-        heard.comeBackAfter = give.retryAfter;
+        heard.retryAfter = give.retryAfter;
         const OnResult tell = wished.onResult;
         if (give.result != Result::playing) wishes_.erase(it);
         if (tell) calls_.push_back([tell, id = give.request, heard] { tell(id, heard); });
@@ -120,7 +121,7 @@
   ask.room = wished.want.room;
   ask.top = wished.want.top;
   if (wished.want.length > 0) ask.length = wished.want.length;
-  line.link->ask(ask);
+  line.link->sendPlay(ask);
 }
 
 void SessionClient::heard(Line& line, const session_api::AnswerMessage& answer) {
--- a/client/session/session_client.h
+++ b/client/session/session_client.h
@@ -17,7 +17,7 @@
 
 namespace lupinsill::client {
 
-struct Want {
+struct SubscriptionRequest {
   std::string viewer;
   std::string title;
   std::string room;
@@ -27,17 +27,17 @@
   Micros length = 0;  // 0: not known
 };
 
-struct Heard {
+struct SubscriptionResult {
   Result result = Result::unreachable;
   std::string reason;  // of the director's last answer, where there was one
   std::string subscription, node, ticket;
   int rung = 0;
-  Micros comeBackAfter = 0;
+  Micros retryAfter = 0;
 };
 
 class SessionClient {
  public:
-  using OnResult = std::function<void(RequestId, const Heard&)>;
+  using OnResult = std::function<void(RequestId, const SubscriptionResult&)>;
   using OnEnd = std::function<void(RequestId, const std::string& reason, Micros comeBackAfter)>;
   using OnRung = std::function<void(RequestId, int rung)>;
 
@@ -47,9 +47,10 @@
   SessionClient(const SessionClient&) = delete;
   SessionClient& operator=(const SessionClient&) = delete;
 
-  RequestId ask(const Want& want, OnResult onResult, OnEnd onEnd = {}, OnRung onRung = {});
+  RequestId subscribe(const SubscriptionRequest& want, OnResult onResult, OnEnd onEnd = {},
+                      OnRung onRung = {});
   void leave(RequestId wish);  // gives up a wish, or ends what plays
-  const Statistics& counts() const { return core_.statistics(); }
+  const Statistics& statistics() const { return core_.statistics(); }
 
  private:
   struct Wished;
--- a/client/session/transport.h
+++ b/client/session/transport.h
@@ -24,7 +24,7 @@
 class Link {
  public:
   virtual ~Link() = default;
-  virtual void ask(const session_api::PlayMessage& ask) = 0;
+  virtual void sendPlay(const session_api::PlayMessage& ask) = 0;
   virtual void leave() = 0;
   virtual bool flushed() const = 0;
 };
--- a/client/websocket/transport.cpp
+++ b/client/websocket/transport.cpp
@@ -33,7 +33,7 @@
   }
   ~WebSocketLink() override { owner_.links.erase(this); }
 
-  void ask(const session_api::PlayMessage& message) override {
+  void sendPlay(const session_api::PlayMessage& message) override {
     session_api::PlayMessage out = message;
     out.id = "a";
     channel_.sendText(websocket::textOf(out));
--- a/examples/clients/watch.cpp
+++ b/examples/clients/watch.cpp
@@ -25,22 +25,22 @@
   client::SessionClient sessions(base.get(), std::move(transport), {{argv[2], "here"}}, client::RetryPolicy{},
                                  1);
 
-  client::Want want;
+  client::SubscriptionRequest want;
   want.viewer = "example";
   want.room = argv[3];
   want.title = argv[4];
   want.unsafe = want.room == "paid-class";  // must not be set up twice
   int code = 0;
-  sessions.ask(
+  sessions.subscribe(
       want,
-      [&](client::RequestId, const client::Heard& heard) {
+      [&](client::RequestId, const client::SubscriptionResult& heard) {
         std::printf("%s %s", client::nameOf(heard.result), heard.reason.c_str());
         if (heard.result == client::Result::playing)
           std::printf("at %s on rung %d, ticket %s", heard.node.c_str(), heard.rung, heard.ticket.c_str());
         else
           code = 1, event_base_loopbreak(base.get());
-        if (heard.comeBackAfter > 0)
-          std::printf(", come back after %lld ms", static_cast<long long>(heard.comeBackAfter / 1000));
+        if (heard.retryAfter > 0)
+          std::printf(", come back after %lld ms", static_cast<long long>(heard.retryAfter / 1000));
         std::printf("\n");
       },
       [&](client::RequestId, const std::string& reason, client::Micros) {
--- a/src/history/play.cpp
+++ b/src/history/play.cpp
@@ -193,7 +193,7 @@
   tries_.resize(appsCount);
   for (int app = 0; app < appsCount; ++app) {
     client::RetryPolicy manners;
-    manners.building = "zone" + std::to_string(app % h_.zones);
+    manners.zone = "zone" + std::to_string(app % h_.zones);
     // Every other app waits for its director to the end: what never comes is seen then.
     if (app % 2 == 0) manners.attemptTimeout = 3600 * second;
     apps_.push_back(std::make_unique<client::Core>(at, manners, h_.seed * 10 + static_cast<unsigned>(app)));
--- a/src/lab/clients.cpp
+++ b/src/lab/clients.cpp
@@ -48,7 +48,7 @@
  private:
   struct One final : client::Link {
     One(std::unique_ptr<client::Link> link, std::uint64_t& asks) : inner(std::move(link)), count(asks) {}
-    void ask(const session_api::PlayMessage& message) override { ++count, inner->ask(message); }
+    void sendPlay(const session_api::PlayMessage& message) override { ++count, inner->sendPlay(message); }
     void leave() override { inner->leave(); }
     bool flushed() const override { return inner->flushed(); }
     std::unique_ptr<client::Link> inner;
@@ -133,7 +133,7 @@
 
 client::RetryPolicy manners() {
   client::RetryPolicy out;
-  out.building = "here";
+  out.zone = "here";
   return out;
 }
 // Sequences are about repeats; what the budget does is seen in the storms.
@@ -159,13 +159,13 @@
   void next() {
     if (played.results.size() == sequence.wishes.size()) return;
     const client_script::WishLine& wish = sequence.wishes[played.results.size()];
-    client::Want want;
+    client::SubscriptionRequest want;
     want.viewer = name + "-" + std::to_string(sequence.number);
     want.title = wish.title + "." + name;
     want.room = wish.room;
     want.unsafe = wish.paid;
     want.timeout = wish.timeout;
-    client.ask(want, [this](client::RequestId id, const client::Heard& heard) {
+    client.subscribe(want, [this](client::RequestId id, const client::SubscriptionResult& heard) {
       if (heard.result == client::Result::playing) client.leave(id);
       played.results.emplace_back(nameOf(heard.result));
       next();
@@ -274,12 +274,12 @@
   fleet.until(
       [&] {
         while (asked < wishes && net::monotonicNow() - start >= asked * 10'000) {
-          client::Want want;
+          client::SubscriptionRequest want;
           want.viewer = who + std::to_string(asked);
           want.title = plan + "." + std::to_string(asked++) + "." + who;
           want.room = "recipe-clip";
           want.timeout = 5'000'000;
-          crowd.ask(want, [&](client::RequestId id, const client::Heard& heard) {
+          crowd.subscribe(want, [&](client::RequestId id, const client::SubscriptionResult& heard) {
             ++over;
             if (heard.result != client::Result::playing) return;
             ++out.playing;
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -19,7 +19,7 @@
 }
 RetryPolicy manners() {
   RetryPolicy m;
-  m.building = "north";
+  m.zone = "north";
   return m;
 }
 
--- a/tests/core_traces.cpp
+++ b/tests/core_traces.cpp
@@ -43,7 +43,7 @@
     std::minstd_rand chance(seed);
     const auto below = [&](unsigned n) { return static_cast<unsigned>(chance() / 7 % n); };
     RetryPolicy manners;
-    manners.building = "north";
+    manners.zone = "north";
     Core core({{"a:1", "north"}, {"b:1", "north"}, {"c:1", "south"}}, manners, seed);
     Json events = Json::array();
     Micros now = 0;
--- a/tests/director_test.cpp
+++ b/tests/director_test.cpp
@@ -413,7 +413,7 @@
 struct Asked {
   net::EventBase base{event_base_new()};
   client::SessionClient client;
-  client::Heard heard;
+  client::SubscriptionResult heard;
   int results = 0, ends = 0;
   std::string end;
   client::RequestId wish = 0;
@@ -427,14 +427,14 @@
   }
   static client::RetryPolicy manners() {
     client::RetryPolicy m;
-    m.building = "here";
+    m.zone = "here";
     return m;
   }
   void ask(const std::string& room, client::Micros timeout = 20'000'000) {
-    client::Want want{"v", "t", room, room == "paid-class"};
+    client::SubscriptionRequest want{"v", "t", room, room == "paid-class"};
     want.timeout = timeout;
-    wish = client.ask(
-        want, [this](client::RequestId, const client::Heard& h) { heard = h, ++results; },
+    wish = client.subscribe(
+        want, [this](client::RequestId, const client::SubscriptionResult& h) { heard = h, ++results; },
         [this](client::RequestId, const std::string& why, client::Micros) { end = why, ++ends; });
   }
   void until(const std::function<bool()>& enough) { spin(base.get(), 15'000, enough); }
@@ -521,7 +521,7 @@
     void onHello(const std::string&) override {
       session_api::PlayMessage ask;
       ask.key = "front-1:k", ask.viewer = "v", ask.title = "t", ask.room = "paid-class";
-      link->ask(ask);
+      link->sendPlay(ask);
     }
     void onAnswer(const session_api::AnswerMessage& answer) override { answers.push_back(answer); }
     void onLost(bool) override {}
@@ -604,9 +604,10 @@
       base.get(), grpc ? client::makeGrpc(base.get(), connect) : client::makeWebSocket(base.get(), connect),
       Asked::at({grpc ? d.grpc : d.players}), Asked::manners(), 5);
   std::optional<client::Result> result;
-  client::Want want{"v", "t", "recipe-clip"};
+  client::SubscriptionRequest want{"v", "t", "recipe-clip"};
   want.timeout = 2'000'000;
-  client.ask(want, [&](client::RequestId, const client::Heard& heard) { result = heard.result; });
+  client.subscribe(
+      want, [&](client::RequestId, const client::SubscriptionResult& heard) { result = heard.result; });
   spin(base.get(), 6000, [&] { return result.has_value(); });
   REQUIRE(result.has_value());
   return *result;
