--- a/client/core/core.cpp
+++ b/client/core/core.cpp
@@ -7,10 +7,14 @@
 namespace lupinsill::client {
 namespace {
 constexpr Micros never = std::numeric_limits<Micros>::max();
-constexpr Micros leastTime = 50'000;  // under it no try could be answered in time
+constexpr Micros minAttemptTime = 50'000;    // an attempt with less time left cannot be answered in time
+constexpr Micros minStatedTimeLeft = 1'000;  // one millisecond, the unit of the protocol
+constexpr int maxDoublings = 20;             // of a backoff or an ejection; keeps the shift within range
+constexpr int maxHintDoublings = 7;          // of the retry-after time once no further attempt is allowed
 
-void forget(std::deque<Micros>& times, Micros before) {
-  while (!times.empty() && times.front() <= before) times.pop_front();
+// Removes the times up to and including `cutoff`; `times` is sorted.
+void removeUntil(std::deque<Micros>& times, Micros cutoff) {
+  while (!times.empty() && times.front() <= cutoff) times.pop_front();
 }
 }  // namespace
 
@@ -32,238 +36,250 @@
   return "?";
 }
 
-Core::Core(std::vector<DirectorEndpoint> directors, RetryPolicy manners, std::uint64_t seed)
-    : manners_(std::move(manners)),
-      chance_(static_cast<std::minstd_rand::result_type>(seed % 2147483646 + 1)) {
-  for (DirectorEndpoint& at : directors) directors_.push_back({std::move(at), 0, 0});
+Core::Core(std::vector<DirectorEndpoint> directors, RetryPolicy policy, std::uint64_t seed)
+    : policy_(std::move(policy)), random_(static_cast<std::minstd_rand::result_type>(seed % 2147483646 + 1)) {
+  for (DirectorEndpoint& endpoint : directors) directors_.push_back({std::move(endpoint), 0, 0});
 }
 
-Micros Core::jitter(Micros most) {
-  if (most <= 0) return 0;
-  return static_cast<Micros>(static_cast<double>(chance_() % 1'000'000) / 1e6 * static_cast<double>(most));
+Micros Core::jitter(Micros span) {
+  if (span <= 0) return 0;
+  return static_cast<Micros>(static_cast<double>(random_() % 1'000'000) / 1e6 * static_cast<double>(span));
 }
 
-void Core::note(Held& held, Micros at) {
-  held.wakeAt = at;
-  due_.emplace(at, held.wish.id);
+void Core::wake(PendingRequest& pending, Micros at) {
+  pending.wakeAt = at;
+  wakeUps_.emplace(at, pending.request.id);
 }
 
-Micros Core::due() const { return due_.empty() ? never : due_.begin()->first; }
+Micros Core::due() const { return wakeUps_.empty() ? never : wakeUps_.begin()->first; }
 
-Core::Held* Core::byTry(AttemptId attempt) {
-  const auto it = tries_.find(attempt);
-  if (it == tries_.end()) return nullptr;
-  return &held_.at(it->second);
+Core::PendingRequest* Core::findByAttempt(AttemptId attempt) {
+  const auto it = attempts_.find(attempt);
+  if (it == attempts_.end()) return nullptr;
+  return &pending_.at(it->second);
 }
 
 // ---- events ----
 
-void Core::submit(Micros now, const Request& wish, std::vector<Action>& acts) {
-  if (held_.contains(wish.id)) return;
+void Core::submit(Micros now, const Request& request, std::vector<Action>& actions) {
+  if (pending_.contains(request.id)) return;
   ++statistics_.requests;
-  Held& held = held_[wish.id];
-  held.wish = wish;
-  held.endsAt = now + wish.timeout;
-  firsts_.push_back(now);
-  due_.emplace(held.endsAt, wish.id);
-  go(now, held, acts);
+  PendingRequest& pending = pending_[request.id];
+  pending.request = request;
+  pending.deadline = now + request.timeout;
+  firstAttemptTimes_.push_back(now);
+  wakeUps_.emplace(pending.deadline, request.id);
+  proceed(now, pending, actions);
 }
 
-void Core::cancel(Micros, RequestId wish, std::vector<Action>& acts) {
-  const auto it = held_.find(wish);
-  if (it != held_.end()) end(it->second, Result::cancelled, 0, 0, acts);
+void Core::cancel(Micros, RequestId request, std::vector<Action>& actions) {
+  const auto it = pending_.find(request);
+  if (it != pending_.end()) finish(it->second, Result::cancelled, 0, 0, actions);
 }
 
 SendParameters Core::beginSend(Micros now, AttemptId attempt, const std::string& director) {
-  Held* held = byTry(attempt);
-  if (held == nullptr || held->sentNow) return {};
-  SendParameters out;
-  if (held->sentTo.empty()) {
-    held->keySent = director + ":" + held->wish.key;
-    held->firstSentAt = now;
+  PendingRequest* pending = findByAttempt(attempt);
+  if (pending == nullptr || pending->attemptSent) return {};
+  SendParameters parameters;
+  if (pending->keyDirector.empty()) {
+    pending->sentKey = director + ":" + pending->request.key;
+    pending->firstSentAt = now;
   } else {
-    out.previousDirector = held->sentTo;
-    out.sinceFirstSent = now - held->firstSentAt;
+    parameters.previousDirector = pending->keyDirector;
+    parameters.sinceFirstSent = now - pending->firstSentAt;
   }
-  out.key = held->keySent;
-  // Guards against a director that answers after the client gave up: it is told how long there is.
-  out.timeLeft = std::max<Micros>(1'000, held->endsAt - now);
-  held->sentTo = director;
-  held->sentOnce = held->sentNow = true;
-  // Guards against a second charge at a director that knows nothing of the first.
-  if (held->wish.unsafe && held->director < directors_.size())
-    held->bound = directors_[held->director].at.address;
-  return out;
+  parameters.key = pending->sentKey;
+  // The director must not answer after the client has given up, so it is told the time left.
+  parameters.timeLeft = std::max(Micros{minStatedTimeLeft}, pending->deadline - now);
+  pending->keyDirector = director;
+  pending->everSent = pending->attemptSent = true;
+  // Another director would not know of this attempt and could charge the viewer a second time.
+  if (pending->request.unsafe && pending->director < directors_.size())
+    pending->pinnedAddress = directors_[pending->director].endpoint.address;
+  return parameters;
 }
 
-void Core::failed(Micros now, AttemptId attempt, std::vector<Action>& acts, bool unread) {
-  Held* held = byTry(attempt);
-  if (held == nullptr) return;
-  tries_.erase(attempt);
-  held->state = State::waiting;
-  // What was proved of this try says nothing of those before it.
-  if (unread) held->bound = held->boundBefore, held->sentTo = held->sentToBefore;
-  shun(now, held->director, 0);
-  // Another director may be asked at once; the same one only after a wait.
-  if (held->bound.empty())
-    go(now, *held, acts);
+void Core::failed(Micros now, AttemptId attempt, std::vector<Action>& actions, bool unread) {
+  PendingRequest* pending = findByAttempt(attempt);
+  if (pending == nullptr) return;
+  attempts_.erase(attempt);
+  pending->state = State::waiting;
+  // The proof covers this attempt only: an earlier attempt may still have been accepted.
+  if (unread)
+    pending->pinnedAddress = pending->pinnedBefore, pending->keyDirector = pending->keyDirectorBefore;
+  eject(now, pending->director, 0);
+  // A different director can be tried immediately; the pinned one only after a backoff.
+  if (pending->pinnedAddress.empty())
+    proceed(now, *pending, actions);
   else
-    wait(now, *held, 0, acts);
+    backOff(now, *pending, 0, actions);
 }
 
 void Core::answered(Micros now, AttemptId attempt, Answer answer, Micros retryAfter, bool directorDrains,
-                    std::vector<Action>& acts) {
-  Held* held = byTry(attempt);
-  if (held == nullptr) return;
-  tries_.erase(attempt);
-  held->state = State::waiting;
-  const std::size_t director = held->director;
-  if (director < directors_.size() && !directorDrains) directors_[director].failures = 0;
-  if (answer == Answer::playing) return end(*held, Result::playing, director, 0, acts);
-  // Guards against a mistake of the program that is asked again and again, and then called a throttle.
-  if (answer == Answer::wrong) return end(*held, Result::terminated, director, 0, acts);
-  if (directorDrains) shun(now, director, retryAfter);
+                    std::vector<Action>& actions) {
+  PendingRequest* pending = findByAttempt(attempt);
+  if (pending == nullptr) return;
+  attempts_.erase(attempt);
+  pending->state = State::waiting;
+  const std::size_t director = pending->director;
+  if (director < directors_.size() && !directorDrains) directors_[director].consecutiveFailures = 0;
+  if (answer == Answer::playing) return finish(*pending, Result::playing, director, 0, actions);
+  // A request with an unknown name is an error of the program: a retry cannot succeed, and the
+  // final result would be a misleading `throttled`.
+  if (answer == Answer::wrong) return finish(*pending, Result::terminated, director, 0, actions);
+  if (directorDrains) eject(now, director, retryAfter);
   if (answer == Answer::terminated) {
-    if (held->wish.unsafe) return end(*held, Result::terminated, director, 0, acts);
-    return wait(now, *held, retryAfter, acts);
+    if (pending->request.unsafe) return finish(*pending, Result::terminated, director, 0, actions);
+    return backOff(now, *pending, retryAfter, actions);
   }
-  // Throttled: nothing of it ran, so an unsafe wish is free to go elsewhere again.
-  held->bound.clear();
-  held->sentTo.clear();
-  wait(now, *held, retryAfter, acts);
+  // Throttled: nothing was executed, so an unsafe request may be sent to any director again.
+  pending->pinnedAddress.clear();
+  pending->keyDirector.clear();
+  backOff(now, *pending, retryAfter, actions);
 }
 
-void Core::tick(Micros now, std::vector<Action>& acts) {
-  while (!due_.empty() && due_.begin()->first <= now) {
-    const RequestId id = due_.begin()->second;
-    due_.erase(due_.begin());
-    const auto it = held_.find(id);
-    if (it == held_.end()) continue;
-    Held& held = it->second;
-    if (now >= held.endsAt) {
-      if (held.state == State::trying) shun(now, held.director, 0);
-      end(held, lastWord(held), held.director, 0, acts);
+void Core::tick(Micros now, std::vector<Action>& actions) {
+  while (!wakeUps_.empty() && wakeUps_.begin()->first <= now) {
+    const RequestId id = wakeUps_.begin()->second;
+    wakeUps_.erase(wakeUps_.begin());
+    const auto it = pending_.find(id);
+    if (it == pending_.end()) continue;
+    PendingRequest& pending = it->second;
+    if (now >= pending.deadline) {
+      if (pending.state == State::attempting) eject(now, pending.director, 0);
+      finish(pending, resultWithoutAnswer(pending), pending.director, 0, actions);
       continue;
     }
-    if (held.wakeAt == 0 || now < held.wakeAt) continue;
-    held.wakeAt = 0;
-    if (held.state == State::waiting) {
-      go(now, held, acts);
+    if (pending.wakeAt == 0 || now < pending.wakeAt) continue;
+    pending.wakeAt = 0;
+    if (pending.state == State::waiting) {
+      proceed(now, pending, actions);
       continue;
     }
-    // An unsafe ask that may have been taken is never called off: its answer is the only one there is.
-    if (held.wish.unsafe && held.sentNow) continue;
-    // Guards against a director that takes connections and says nothing on them.
-    acts.push_back(AbandonAttempt{held.attempt});
-    failed(now, held.attempt, acts);
+    // An unsafe attempt that may have been accepted is never abandoned: only its answer tells whether it ran.
+    if (pending.request.unsafe && pending.attemptSent) continue;
+    // The director may accept connections without ever answering on them.
+    actions.push_back(AbandonAttempt{pending.attempt});
+    failed(now, pending.attempt, actions);
   }
 }
 
 // ---- decisions ----
 
-Result Core::lastWord(const Held& held) const {
-  if (!held.bound.empty()) return Result::unknown;
-  return held.sentOnce ? Result::throttled : Result::unreachable;
+Result Core::resultWithoutAnswer(const PendingRequest& pending) const {
+  if (!pending.pinnedAddress.empty()) return Result::unknown;
+  return pending.everSent ? Result::throttled : Result::unreachable;
 }
 
-void Core::end(Held& held, Result result, std::size_t director, Micros comeBack, std::vector<Action>& acts) {
-  if (held.state == State::trying) {
-    acts.push_back(AbandonAttempt{held.attempt});
-    tries_.erase(held.attempt);
+void Core::finish(PendingRequest& pending, Result result, std::size_t director, Micros retryAfter,
+                  std::vector<Action>& actions) {
+  if (pending.state == State::attempting) {
+    actions.push_back(AbandonAttempt{pending.attempt});
+    attempts_.erase(pending.attempt);
   }
-  const RequestId id = held.wish.id;
-  acts.push_back(ReportResult{id, result, director, comeBack});
-  held_.erase(id);
+  const RequestId id = pending.request.id;
+  actions.push_back(ReportResult{id, result, director, retryAfter});
+  pending_.erase(id);
 }
 
-bool Core::spend(Micros now) {
-  forget(firsts_, now - manners_.budgetWindow);
-  forget(furthers_, now - manners_.budgetWindow);
-  if (static_cast<double>(furthers_.size()) + 1 >
-      manners_.minRetries + manners_.budgetShare * static_cast<double>(firsts_.size()))
+bool Core::takeRetry(Micros now) {
+  removeUntil(firstAttemptTimes_, now - policy_.budgetWindow);
+  removeUntil(retryTimes_, now - policy_.budgetWindow);
+  if (static_cast<double>(retryTimes_.size()) + 1 >
+      policy_.minRetries + policy_.budgetShare * static_cast<double>(firstAttemptTimes_.size()))
     return false;
-  furthers_.push_back(now);
+  retryTimes_.push_back(now);
   return true;
 }
 
-void Core::shun(Micros now, std::size_t director, Micros least) {
+void Core::eject(Micros now, std::size_t director, Micros minSpan) {
   if (director >= directors_.size()) return;
-  Known& known = directors_[director];
-  const Micros span = std::min(manners_.maxEjection, manners_.minEjection << std::min(20, known.failures));
-  ++known.failures;
+  DirectorState& state = directors_[director];
+  const Micros span = std::min(policy_.maxEjection,
+                               policy_.minEjection << std::min(int{maxDoublings}, state.consecutiveFailures));
+  ++state.consecutiveFailures;
   ++statistics_.ejections;
-  // Half of it by chance: all clients saw the same failure at the same time.
-  known.shunUntil = std::max(known.shunUntil, now + std::max(least, span / 2 + jitter(span / 2)));
+  // Half of the span is random, because all clients see the same failure at the same time.
+  state.ejectedUntil = std::max(state.ejectedUntil, now + std::max(minSpan, span / 2 + jitter(span / 2)));
 }
 
-// False where nobody can be asked now; then `freeAt` says from when somebody can.
-bool Core::choose(Micros now, const Held& held, std::size_t& director, Micros& freeAt) {
-  freeAt = never;
-  std::vector<std::size_t> near, far;
-  std::size_t soonest = directors_.size();
+bool Core::pickDirector(Micros now, const PendingRequest& pending, std::size_t& director,
+                        Micros& availableAt) {
+  availableAt = never;
+  std::vector<std::size_t> sameZone, otherZones;
+  std::size_t firstAvailable = directors_.size();
   for (std::size_t i = 0; i < directors_.size(); ++i) {
-    const Known& known = directors_[i];
-    if (!held.bound.empty() && known.at.address != held.bound) continue;
-    // A bound wish has nowhere else to go: its waits are its own, not those of the director's other callers.
-    if (known.shunUntil > now && held.bound.empty()) {
-      if (known.shunUntil < freeAt) freeAt = known.shunUntil, soonest = i;
+    const DirectorState& state = directors_[i];
+    if (!pending.pinnedAddress.empty() && state.endpoint.address != pending.pinnedAddress) continue;
+    // A pinned request has no alternative: it follows its own backoff and ignores ejections, which other
+    // requests may have caused.
+    if (state.ejectedUntil > now && pending.pinnedAddress.empty()) {
+      if (state.ejectedUntil < availableAt) availableAt = state.ejectedUntil, firstAvailable = i;
       continue;
     }
-    (known.at.zone == manners_.zone ? near : far).push_back(i);
+    (state.endpoint.zone == policy_.zone ? sameZone : otherZones).push_back(i);
   }
-  const std::vector<std::size_t>& from = near.empty() ? far : near;
-  // Guards against a client that turns its viewers away unasked: where every director fails some asks, all of
-  // them are shunned at once. A first try is nobody's storm, and goes to the one that is free the soonest.
-  if (from.empty() && held.tries == 0 && soonest < directors_.size()) return director = soonest, true;
-  if (from.empty()) return false;
-  director = from[chance_() % from.size()];
+  const std::vector<std::size_t>& candidates = sameZone.empty() ? otherZones : sameZone;
+  // If every director fails some requests, all of them are ejected at once. A first attempt cannot cause a
+  // retry storm, so it goes to the director whose ejection ends first; otherwise the client would refuse its
+  // viewers without asking any director.
+  if (candidates.empty() && pending.attempts == 0 && firstAvailable < directors_.size())
+    return director = firstAvailable, true;
+  if (candidates.empty()) return false;
+  director = candidates[random_() % candidates.size()];
   return true;
 }
 
-void Core::go(Micros now, Held& held, std::vector<Action>& acts) {
-  if (held.endsAt - now < leastTime) return end(held, lastWord(held), held.director, 0, acts);
-  if (held.notBefore > now) return note(held, held.notBefore);
+void Core::proceed(Micros now, PendingRequest& pending, std::vector<Action>& actions) {
+  if (pending.deadline - now < minAttemptTime)
+    return finish(pending, resultWithoutAnswer(pending), pending.director, 0, actions);
+  if (pending.notBefore > now) return wake(pending, pending.notBefore);
   std::size_t director = 0;
-  Micros freeAt = 0;
-  if (!choose(now, held, director, freeAt)) {
-    // Nobody to ask within its time is told at once, with the time at which it makes sense to come back.
-    if (freeAt > held.endsAt - leastTime)
-      return end(held, lastWord(held), held.director, freeAt == never ? manners_.maxBackoff : freeAt - now,
-                 acts);
-    return note(held, freeAt);
+  Micros availableAt = 0;
+  if (!pickDirector(now, pending, director, availableAt)) {
+    // No director becomes available before the deadline: report that now, with the time for a new request.
+    if (availableAt > pending.deadline - minAttemptTime)
+      return finish(pending, resultWithoutAnswer(pending), pending.director,
+                    availableAt == never ? policy_.maxBackoff : availableAt - now, actions);
+    return wake(pending, availableAt);
   }
-  if (held.tries >= manners_.maxAttempts || (held.tries > 0 && !spend(now))) {
-    if (held.tries < manners_.maxAttempts) ++statistics_.budgetRefused;
-    return end(held, lastWord(held), held.director, manners_.minBackoff << std::min(7, held.waits), acts);
+  if (pending.attempts >= policy_.maxAttempts || (pending.attempts > 0 && !takeRetry(now))) {
+    if (pending.attempts < policy_.maxAttempts) ++statistics_.budgetRefused;
+    return finish(pending, resultWithoutAnswer(pending), pending.director,
+                  policy_.minBackoff << std::min(int{maxHintDoublings}, pending.backoffs), actions);
   }
-  if (held.tries++ > 0) ++statistics_.retries;
+  if (pending.attempts++ > 0) ++statistics_.retries;
   ++statistics_.attempts;
-  held.state = State::trying;
-  held.director = director;
-  held.boundBefore = held.bound;
-  held.sentToBefore = held.sentTo;
-  held.sentNow = false;
-  held.attempt = ++next_;
-  tries_[held.attempt] = held.wish.id;
-  const Micros left = held.endsAt - now;
-  if (manners_.attemptTimeout < left) note(held, now + manners_.attemptTimeout);
-  acts.push_back(StartAttempt{held.wish.id, held.attempt, director, held.wish.key, left});
+  pending.state = State::attempting;
+  pending.director = director;
+  pending.pinnedBefore = pending.pinnedAddress;
+  pending.keyDirectorBefore = pending.keyDirector;
+  pending.attemptSent = false;
+  pending.attempt = ++lastAttempt_;
+  attempts_[pending.attempt] = pending.request.id;
+  const Micros left = pending.deadline - now;
+  if (policy_.attemptTimeout < left) wake(pending, now + policy_.attemptTimeout);
+  actions.push_back(StartAttempt{pending.request.id, pending.attempt, director, pending.request.key, left});
 }
 
-// Full jitter over a span that doubles, after what the answer asked for: a crowd refused together does not
-// come back together.
-void Core::wait(Micros now, Held& held, Micros least, std::vector<Action>& acts) {
-  const Micros span = std::min(manners_.maxBackoff, manners_.minBackoff << std::min(20, held.waits));
-  ++held.waits;
-  const Micros at = now + least + jitter(span);
-  held.notBefore = now + least;
-  if (at > held.endsAt - leastTime) {
-    const bool may = held.bound.empty();
-    // A bound wish waits for its one chance until the end; others are told now when to come back.
-    if (may) return end(held, lastWord(held), held.director, std::max<Micros>(least, at - now), acts);
-    return note(held, std::max(now + 1, held.endsAt - leastTime));
+// Exponential backoff with full jitter on top of the requested delay, so that clients that were refused at
+// the same time do not retry at the same time.
+void Core::backOff(Micros now, PendingRequest& pending, Micros minDelay, std::vector<Action>& actions) {
+  const Micros span =
+      std::min(policy_.maxBackoff, policy_.minBackoff << std::min(int{maxDoublings}, pending.backoffs));
+  ++pending.backoffs;
+  const Micros at = now + minDelay + jitter(span);
+  pending.notBefore = now + minDelay;
+  if (at > pending.deadline - minAttemptTime) {
+    const bool unpinned = pending.pinnedAddress.empty();
+    // A pinned request keeps waiting and makes a last attempt just before its deadline. Any other request
+    // ends now and reports when a new one makes sense.
+    if (unpinned)
+      return finish(pending, resultWithoutAnswer(pending), pending.director,
+                    std::max<Micros>(minDelay, at - now), actions);
+    return wake(pending, std::max(now + 1, pending.deadline - minAttemptTime));
   }
-  note(held, at);
+  wake(pending, at);
 }
 
 }  // namespace lupinsill::client
--- a/client/core/core.h
+++ b/client/core/core.h
@@ -1,17 +1,20 @@
-// When a client asks again, where, how long it waits and when it gives up: the one piece that decides this
-// for every library, so that no library has a retry loop of its own. No I/O, no clock, no thread: events and
-// the time come in, acts go out. Times are whole microseconds on the caller's clock; nothing throws.
+// The retry policy of every client library: which director to use for a request, when to retry, how long to
+// back off and when to give up. The libraries have no retry loop of their own. The class does no I/O, reads
+// no clock and starts no thread: the caller passes in events with the current time and executes the returned
+// actions. Times are whole microseconds on the caller's monotonic clock. Nothing throws.
 //
-// What it keeps, whatever comes in and in whatever order:
-//  1. Each wish gets exactly one result, by its timeout at the latest; what is given up on is told at once.
-//  2. At most one try of a wish is out.
-//  3. All tries of a wish carry the same key. Once a try of an unsafe wish may have been taken, further tries
-//     go to that director only, until it answers or proves that it never read it: directors share nothing,
-//     and only that one knows the key.
-//  4. No try leaves before the time that the last answer asked to wait.
-//  5. Tries beyond a wish's first stay within the budget: in any window, a few and a share of first tries.
-//  6. Directors of the own building come first; one that fails is left alone for a while, longer each time.
-//     Where all of them are, a wish's first try is still made, and no further one.
+// Guarantees, for any events in any order:
+//  1. Each request gets exactly one result, at its timeout at the latest. A request that is given up earlier
+//     is reported immediately.
+//  2. At most one attempt of a request is in flight.
+//  3. All attempts of a request carry the same key. Once a director may have accepted an attempt of an unsafe
+//     request, the request is pinned: retries go to that director only, until it answers or proves that it
+//     never read the attempt. Directors share no state, so only that director can recognise the key.
+//  4. No attempt starts before the delay requested by the last answer has passed.
+//  5. Retries stay within the retry budget: in any window, a fixed number plus a share of the first attempts.
+//  6. Directors in the client's own zone are preferred. A director that fails is ejected for a while, longer
+//     after each consecutive failure. While all directors are ejected, first attempts are still made, but no
+//     retries.
 #pragma once
 
 #include <cstdint>
@@ -29,147 +32,179 @@
 using RequestId = std::uint64_t;
 using AttemptId = std::uint64_t;
 
+// Where a director listens.
 struct DirectorEndpoint {
-  std::string address;  // host:port, as the transport reads it
+  std::string address;  // host:port, in the form that the transport accepts
   std::string zone;
 };
 
-// How a client behaves; the defaults suit an app that a person waits in front of.
+// Retry settings of a client. The defaults suit an interactive application, whose user waits for the result.
 struct RetryPolicy {
-  std::string zone;             // its own
-  Micros minBackoff = 100'000;  // the first wait where nobody said how long; doubles
+  std::string zone;             // of the client; directors in it are preferred
+  Micros minBackoff = 100'000;  // limit of the first random backoff; doubles with each backoff
   Micros maxBackoff = 16'000'000;
-  int minRetries = 3;        // tries beyond the first, in a window
-  double budgetShare = 0.2;  // and this share of first tries
-  Micros budgetWindow = 10'000'000;
-  Micros minEjection = 500'000;  // a director that failed; doubles each time
+  int minRetries = 3;                // retry budget: retries that are always allowed within the window
+  double budgetShare = 0.2;          // retry budget: further retries, as a share of first attempts
+  Micros budgetWindow = 10'000'000;  // sliding window over which the retry budget is counted
+  Micros minEjection = 500'000;      // ejection after a first failure; doubles with each consecutive one
   Micros maxEjection = 30'000'000;
-  Micros attemptTimeout =
-      3'000'000;        // a try that is unsent, or safe and unanswered, is given up on after this
-  int maxAttempts = 6;  // of one wish
+  Micros attemptTimeout = 3'000'000;  // limit for an attempt that is unsent, or safe and unanswered
+  int maxAttempts = 6;                // per request, including the first attempt
 };
 
+// A request for one subscription, as far as retries are concerned.
 struct Request {
   RequestId id = 0;
-  std::string key;      // unique to the wish
-  bool unsafe = false;  // must not be set up twice
-  Micros timeout = 0;   // shared by all its tries
+  std::string key;      // idempotency key, unique to the request
+  bool unsafe = false;  // must not be executed twice
+  Micros timeout = 0;   // shared by all attempts
 };
 
+// What a director answered to an attempt.
 enum class Answer {
   playing,
   throttled,
   terminated,
-  wrong,  // it names what is not there: nothing was taken, and asking again would not help
+  wrong,  // the request names something that does not exist: nothing was executed, and a retry cannot succeed
 };
+// The outcome of a request.
 enum class Result {
   playing,
-  throttled,    // asking anew does no harm: nothing ran, or the wish was a safe one; see comeBackAfter
-  terminated,   // the director said so, or the wish names what is not there
-  unknown,      // unsafe, and may have run: ask the viewer before paying again
-  unreachable,  // no director took the ask; nothing ran
+  throttled,    // a new request is harmless: nothing was executed, or the request is safe; see retryAfter
+  terminated,   // refused by the director, or the request names something that does not exist
+  unknown,      // unsafe and possibly executed: let the viewer confirm before charging again
+  unreachable,  // no director received the request; nothing was executed
   cancelled,
 };
+// The result's name, as used in result files and logs.
 const char* nameOf(Result result);
 
-// Acts.
-struct StartAttempt {  // ask `director` (place in the list) for `wish`
+// Actions that the caller has to execute.
+
+// Send the request to a director.
+struct StartAttempt {
   RequestId request;
   AttemptId attempt;
-  std::size_t director;
+  std::size_t director;  // index into the director list
   std::string key;
-  Micros timeLeft;
+  Micros timeLeft;  // until the deadline of the request
 };
-struct AbandonAttempt {  // close what belongs to this try; its answer is of no use any more
+// Release everything that belongs to the attempt; its answer is no longer needed.
+struct AbandonAttempt {
   AttemptId attempt;
 };
-struct ReportResult {  // the wish's one result
+// Report the one result of the request to the program.
+struct ReportResult {
   RequestId request;
   Result result;
-  std::size_t director;  // that answered, where one did
-  Micros retryAfter;     // 0: at will
+  std::size_t director;  // index of the director that answered, if one did
+  Micros retryAfter;     // how long to wait before a new request; 0: not at all
 };
 using Action = std::variant<StartAttempt, AbandonAttempt, ReportResult>;
 
+// Counters since the creation of the core.
 struct Statistics {
+  // budgetRefused: retries that were not made because the retry budget was exhausted.
   std::uint64_t requests = 0, attempts = 0, retries = 0, budgetRefused = 0, ejections = 0;
 };
 
-// What an ask carries besides the wish itself (docs/protocol). A key is for one director; one that throttled
-// is done with it, and the next gets a key of its own.
+// What a message to a director carries besides the request itself. A key is valid at one director only: after
+// a director has throttled the request, the next director receives a new key.
 struct SendParameters {
   std::string key;
-  std::string previousDirector;          // the director the key was sent to before; empty: none
-  std::optional<Micros> sinceFirstSent;  // how long ago that was first
-  Micros timeLeft = 0;                   // of the wish
+  std::string previousDirector;          // name of the director that the key was sent to before; empty: none
+  std::optional<Micros> sinceFirstSent;  // time since the key was first sent
+  Micros timeLeft = 0;                   // until the deadline of the request
 };
 
+// Decides on the attempts of all requests of one client. Every event appends the resulting actions to
+// `actions`.
 class Core {
  public:
-  Core(std::vector<DirectorEndpoint> directors, RetryPolicy manners, std::uint64_t seed);
+  // `seed` initialises the random choices: the same seed and events give the same actions.
+  Core(std::vector<DirectorEndpoint> directors, RetryPolicy policy, std::uint64_t seed);
 
-  void submit(Micros now, const Request& wish, std::vector<Action>& acts);
-  void cancel(Micros now, RequestId wish, std::vector<Action>& acts);
-  // The connection stands and names its director: what the ask has to say of itself. From now on it may be
-  // taken. Empty key: the try is over, and nothing is to be sent.
+  // Starts a request. An id that is already in use is ignored.
+  void submit(Micros now, const Request& request, std::vector<Action>& actions);
+  // Gives up a request; it is reported as cancelled.
+  void cancel(Micros now, RequestId request, std::vector<Action>& actions);
+  // The connection of the attempt is established and the director has named itself. Returns what the message
+  // has to carry; from this call on the director may accept the attempt. An empty key means that nothing must
+  // be sent: the attempt has ended, or was sent already.
   SendParameters beginSend(Micros now, AttemptId attempt, const std::string& director);
-  // The try ended without an answer: never sent (no connection), or lost after sending. `unread`: the other
-  // side has proved that it never read the ask (RFC 9113: a stream over GOAWAY's last one, or
+  // The attempt ended without an answer: it was never sent, or its connection was lost afterwards. `unread`:
+  // the peer proved that it did not read the message (RFC 9113: a stream above the last one in GOAWAY, or
   // REFUSED_STREAM).
-  void failed(Micros now, AttemptId attempt, std::vector<Action>& acts, bool unread = false);
+  void failed(Micros now, AttemptId attempt, std::vector<Action>& actions, bool unread = false);
+  // A director answered the attempt. `retryAfter` is the delay that it requested; `directorDrains` says that
+  // it is shutting down.
   void answered(Micros now, AttemptId attempt, Answer answer, Micros retryAfter, bool directorDrains,
-                std::vector<Action>& acts);
-  void tick(Micros now, std::vector<Action>& acts);
-  // When to tick though nothing happens; the largest time where nothing is due.
+                std::vector<Action>& actions);
+  // Executes everything that is due at `now`.
+  void tick(Micros now, std::vector<Action>& actions);
+  // When tick has to be called next if no event occurs before; the largest time if nothing is scheduled.
   Micros due() const;
   const Statistics& statistics() const { return statistics_; }
 
  private:
-  enum class State { waiting, trying };
-  struct Held {
-    Request wish;
+  enum class State { waiting, attempting };
+  struct PendingRequest {
+    Request request;
     State state = State::waiting;
-    Micros endsAt = 0;
-    Micros wakeAt = 0;  // waiting: when to try; trying: when to give this try up
+    Micros deadline = 0;
+    Micros wakeAt = 0;  // waiting: start of the next attempt; attempting: time-out of the attempt; 0: none
     Micros notBefore = 0;
-    AttemptId attempt = 0;
-    std::size_t director = 0;
-    std::string bound;         // the director that may have taken it, by address; empty: none
-    std::string boundBefore;   // this try
-    std::string keySent;       // for the director below
-    std::string sentTo;        // the name of the one that may know the key; empty: none
-    std::string sentToBefore;  // this try
-    Micros firstSentAt = 0;
-    bool sentNow = false;  // this try
-    int tries = 0;
-    int waits = 0;
-    bool sentOnce = false;
+    AttemptId attempt = 0;     // the current or last one
+    std::size_t director = 0;  // of that attempt
+    // Address of the director that may have accepted the unsafe request; empty: not pinned.
+    std::string pinnedAddress;
+    std::string pinnedBefore;       // pinnedAddress before the current attempt
+    std::string sentKey;            // the key as sent to keyDirector
+    std::string keyDirector;        // name of the director that may know sentKey; empty: none
+    std::string keyDirectorBefore;  // keyDirector before the current attempt
+    Micros firstSentAt = 0;         // of sentKey
+    bool attemptSent = false;       // the current attempt was sent
+    int attempts = 0;
+    int backoffs = 0;
+    bool everSent = false;  // any attempt was sent
   };
-  struct Known {
-    DirectorEndpoint at;
-    Micros shunUntil = 0;
-    int failures = 0;
+  struct DirectorState {
+    DirectorEndpoint endpoint;
+    Micros ejectedUntil = 0;
+    int consecutiveFailures = 0;
   };
-  void go(Micros now, Held& held, std::vector<Action>& acts);
-  void wait(Micros now, Held& held, Micros least, std::vector<Action>& acts);
-  void end(Held& held, Result result, std::size_t director, Micros comeBack, std::vector<Action>& acts);
-  Result lastWord(const Held& held) const;
-  bool choose(Micros now, const Held& held, std::size_t& director, Micros& freeAt);
-  bool spend(Micros now);
-  void shun(Micros now, std::size_t director, Micros least);
-  Held* byTry(AttemptId attempt);
-  Micros jitter(Micros most);
-  void note(Held& held, Micros at);
-
-  RetryPolicy manners_;
-  std::minstd_rand chance_;
-  std::vector<Known> directors_;
-  std::map<RequestId, Held> held_;
-  std::map<AttemptId, RequestId> tries_;
-  std::multimap<Micros, RequestId> due_;
-  std::deque<Micros> firsts_;
-  std::deque<Micros> furthers_;
-  AttemptId next_ = 0;
+  // Starts the next attempt, schedules it, or ends the request if no attempt is possible.
+  void proceed(Micros now, PendingRequest& pending, std::vector<Action>& actions);
+  // Schedules a retry after `minDelay` plus a random backoff, or ends the request if that is too late.
+  void backOff(Micros now, PendingRequest& pending, Micros minDelay, std::vector<Action>& actions);
+  // Reports the result and removes `pending`.
+  void finish(PendingRequest& pending, Result result, std::size_t director, Micros retryAfter,
+              std::vector<Action>& actions);
+  // The result of a request that ends without a final answer.
+  Result resultWithoutAnswer(const PendingRequest& pending) const;
+  // Sets `director`. Returns false if no director is available now; then sets `availableAt` to the time from
+  // which one is.
+  bool pickDirector(Micros now, const PendingRequest& pending, std::size_t& director, Micros& availableAt);
+  // Takes one retry from the retry budget; false if it is exhausted.
+  bool takeRetry(Micros now);
+  // Excludes the director from selection for at least `minSpan`.
+  void eject(Micros now, std::size_t director, Micros minSpan);
+  // Null if the attempt has ended.
+  PendingRequest* findByAttempt(AttemptId attempt);
+  // A random time in [0, span).
+  Micros jitter(Micros span);
+  // Schedules the request's next wake-up, in place of an earlier one.
+  void wake(PendingRequest& pending, Micros at);
+
+  RetryPolicy policy_;
+  std::minstd_rand random_;
+  std::vector<DirectorState> directors_;
+  std::map<RequestId, PendingRequest> pending_;
+  std::map<AttemptId, RequestId> attempts_;   // in flight
+  std::multimap<Micros, RequestId> wakeUps_;  // may hold outdated entries; see wakeAt
+  std::deque<Micros> firstAttemptTimes_;      // within the budget window
+  std::deque<Micros> retryTimes_;             // within the budget window
+  AttemptId lastAttempt_ = 0;
   Statistics statistics_;
 };
 
--- a/client/core/core.ts
+++ b/client/core/core.ts
@@ -1,30 +1,47 @@
-// When a client asks again, where, how long it waits and when it gives up: the same decisions as client/core in
-// C++, statement for statement, so that every library gives the same answers (tests/traces holds both to that).
-// No I/O, no clock, no timer. Times are whole microseconds on the caller's clock; nothing throws.
-// What it keeps is numbered in client/core/core.h.
+// The retry policy of the TypeScript client library: which director to use for a request, when to retry, how long
+// to back off and when to give up. A port of client/core/core.cpp with the same names and the same statements, so
+// that both libraries make the same decisions (tests/core.test.ts compares them on recorded traces). The class
+// does no I/O, reads no clock and sets no timer: the caller passes in events with the current time and executes
+// the returned actions. Times are whole microseconds on the caller's monotonic clock. Nothing throws.
+//
+// Guarantees, for any events in any order:
+//  1. Each request gets exactly one result, at its timeout at the latest. A request that is given up earlier is
+//     reported immediately.
+//  2. At most one attempt of a request is in flight.
+//  3. All attempts of a request carry the same key. Once a director may have accepted an attempt of an unsafe
+//     request, the request is pinned: retries go to that director only, until it answers or proves that it never
+//     read the attempt. Directors share no state, so only that director can recognise the key.
+//  4. No attempt starts before the delay requested by the last answer has passed.
+//  5. Retries stay within the retry budget: in any window, a fixed number plus a share of the first attempts.
+//  6. Directors in the client's own zone are preferred. A director that fails is ejected for a while, longer after
+//     each consecutive failure. While all directors are ejected, first attempts are still made, but no retries.
 
 export type Micros = number;
 
+// Where a director listens.
 export interface DirectorEndpoint {
-  address: string;
-  building: string;
+  address: string; // host:port
+  zone: string;
 }
 
+// Retry settings of a client.
 export interface RetryPolicy {
-  building: string;
-  minBackoff: Micros;
+  zone: string; // of the client; directors in it are preferred
+  minBackoff: Micros; // limit of the first random backoff; doubles with each backoff
   maxBackoff: Micros;
-  minRetries: number;
-  budgetShare: number;
-  budgetWindow: Micros;
-  minEjection: Micros;
+  minRetries: number; // retry budget: retries that are always allowed within the window
+  budgetShare: number; // retry budget: further retries, as a share of first attempts
+  budgetWindow: Micros; // sliding window over which the retry budget is counted
+  minEjection: Micros; // ejection after a first failure; doubles with each consecutive one
   maxEjection: Micros;
-  attemptTimeout: Micros;
-  maxAttempts: number;
+  attemptTimeout: Micros; // limit for an attempt that is unsent, or safe and unanswered
+  maxAttempts: number; // per request, including the first attempt
 }
 
+// Suits an interactive application, whose user waits for the result.
+
 export const defaultRetryPolicy: RetryPolicy = {
-  building: "",
+  zone: "",
   minBackoff: 100_000,
   maxBackoff: 16_000_000,
   minRetries: 3,
@@ -36,62 +53,77 @@
   maxAttempts: 6,
 };
 
+// A request for one subscription, as far as retries are concerned.
 export interface Request {
   id: number;
-  key: string;
-  unsafe: boolean;
-  timeout: Micros;
+  key: string; // idempotency key, unique to the request
+  unsafe: boolean; // must not be executed twice
+  timeout: Micros; // shared by all attempts
 }
 
-// wrong: it names what is not there: nothing was taken, and asking again would not help.
+// What a director answered to an attempt. wrong: the request names something that does not exist: nothing was
+// executed, and a retry cannot succeed.
 export type Answer = "playing" | "throttled" | "terminated" | "wrong";
+// The outcome of a request.
+// - throttled: a new request is harmless: nothing was executed, or the request is safe; see retryAfter
+// - terminated: refused by the director, or the request names something that does not exist
+// - unknown: unsafe and possibly executed: let the viewer confirm before charging again
+// - unreachable: no director received the request; nothing was executed
 export type Result = "playing" | "throttled" | "terminated" | "unknown" | "unreachable" | "cancelled";
 
+// What the caller has to execute.
+// - startAttempt: send the request to the director with this index in the list
+// - abandonAttempt: release everything that belongs to the attempt; its answer is no longer needed
+// - reportResult: report the one result of the request; retryAfter is how long to wait before a new one
 export type Action =
-  | { act: "try"; request: number; attempt: number; director: number; key: string; timeLeft: Micros }
-  | { act: "abandon"; attempt: number }
-  | { act: "give"; request: number; result: Result; director: number; retryAfter: Micros };
+  | { kind: "startAttempt"; request: number; attempt: number; director: number; key: string; timeLeft: Micros }
+  | { kind: "abandonAttempt"; attempt: number }
+  | { kind: "reportResult"; request: number; result: Result; director: number; retryAfter: Micros };
 
-// What an ask carries besides the wish itself; see core.h.
+// What a message to a director carries besides the request itself. A key is valid at one director only: after a
+// director has throttled the request, the next director receives a new key.
 export interface SendParameters {
   key: string;
-  again: string;
-  againAge: Micros | undefined;
-  timeLeft: Micros;
+  previousDirector: string; // name of the director that the key was sent to before; empty: none
+  sinceFirstSent: Micros | undefined; // time since the key was first sent
+  timeLeft: Micros; // until the deadline of the request
 }
 
 const never = Number.MAX_SAFE_INTEGER;
-const leastTime = 50_000; // under it no try could be answered in time
-const noPlace = -1;
-
-interface Held {
-  wish: Request;
-  trying: boolean;
-  endsAt: Micros;
-  wakeAt: Micros;
+const minAttemptTime: Micros = 50_000; // an attempt with less time left cannot be answered in time
+const minStatedTimeLeft: Micros = 1_000; // one millisecond, the unit of the protocol
+const maxDoublings = 20; // of a backoff or an ejection
+const maxHintDoublings = 7; // of the retry-after time once no further attempt is allowed
+const noDirector = -1;
+
+interface PendingRequest {
+  request: Request;
+  attempting: boolean;
+  deadline: Micros;
+  wakeAt: Micros; // waiting: start of the next attempt; attempting: time-out of the attempt; 0: none
   notBefore: Micros;
-  attempt: number;
-  director: number;
-  bound: string;
-  boundBefore: string;
-  keySent: string;
-  sentTo: string;
-  sentToBefore: string;
-  firstSentAt: Micros;
-  sentNow: boolean;
-  tries: number;
-  waits: number;
-  sentOnce: boolean;
+  attempt: number; // the current or last one
+  director: number; // of that attempt
+  pinnedAddress: string; // of the director that may have accepted the unsafe request; empty: not pinned
+  pinnedBefore: string; // pinnedAddress before the current attempt
+  sentKey: string; // the key as sent to keyDirector
+  keyDirector: string; // name of the director that may know sentKey; empty: none
+  keyDirectorBefore: string; // keyDirector before the current attempt
+  firstSentAt: Micros; // of sentKey
+  attemptSent: boolean; // the current attempt was sent
+  attempts: number;
+  backoffs: number;
+  everSent: boolean; // any attempt was sent
 }
 
-interface Known {
-  at: DirectorEndpoint;
-  shunUntil: Micros;
-  failures: number;
+interface DirectorState {
+  endpoint: DirectorEndpoint;
+  ejectedUntil: Micros;
+  consecutiveFailures: number;
 }
 
-// minstd_rand of C++: the same numbers from the same seed.
-class Chance {
+// std::minstd_rand of C++, so that both libraries draw the same numbers from the same seed.
+class MinStdRand {
   private state: number;
   constructor(seed: number) {
     this.state = (seed % 2147483646) + 1;
@@ -102,303 +134,348 @@
   }
 }
 
-function forget(times: Micros[], before: Micros): void {
-  while (times.length > 0 && times[0]! <= before) times.shift();
+// Removes the times up to and including `cutoff`; `times` is sorted.
+function removeUntil(times: Micros[], cutoff: Micros): void {
+  while (times.length > 0 && times[0]! <= cutoff) times.shift();
 }
 
-// A span that doubles, without C++'s shift: 2^20 at most.
-function doubled(span: Micros, times: number, most: number): Micros {
-  return span * 2 ** Math.min(most, times);
+// The span doubled `times` times, but `maxTimes` at most. Not a shift, which would truncate to 32 bits.
+function doubled(span: Micros, times: number, maxTimes: number): Micros {
+  return span * 2 ** Math.min(maxTimes, times);
 }
 
+// Decides on the attempts of all requests of one client. Every event appends the resulting actions to `actions`.
 export class Core {
-  private readonly manners: RetryPolicy;
-  private readonly chance: Chance;
-  private readonly directors: Known[];
-  private readonly held = new Map<number, Held>();
-  private readonly tries = new Map<number, number>();
-  private readonly dues: { at: Micros; wish: number }[] = []; // ordered by time, then by when it was noted
-  private readonly firsts: Micros[] = [];
-  private readonly furthers: Micros[] = [];
-  private last = 0;
+  private readonly policy: RetryPolicy;
+  private readonly random: MinStdRand;
+  private readonly directors: DirectorState[];
+  private readonly pending = new Map<number, PendingRequest>();
+  private readonly attempts = new Map<number, number>(); // in flight: attempt to request
+  // Sorted by time, then by insertion; may hold outdated entries, see wakeAt.
+  private readonly wakeUps: { at: Micros; request: number }[] = [];
+  private readonly firstAttemptTimes: Micros[] = []; // within the budget window
+  private readonly retryTimes: Micros[] = []; // within the budget window
+  private lastAttempt = 0;
+  // budgetRefused: retries that were not made because the retry budget was exhausted.
   readonly statistics = { requests: 0, attempts: 0, retries: 0, budgetRefused: 0, ejections: 0 };
 
-  constructor(directors: DirectorEndpoint[], manners: RetryPolicy, seed: number) {
-    this.manners = manners;
-    this.chance = new Chance(seed);
-    this.directors = directors.map((at) => ({ at, shunUntil: 0, failures: 0 }));
+  // `seed` initialises the random choices: the same seed and events give the same actions.
+  constructor(directors: DirectorEndpoint[], policy: RetryPolicy, seed: number) {
+    this.policy = policy;
+    this.random = new MinStdRand(seed);
+    this.directors = directors.map((endpoint) => ({ endpoint, ejectedUntil: 0, consecutiveFailures: 0 }));
   }
 
   // ---- events ----
 
-  submit(now: Micros, wish: Request, acts: Action[]): void {
-    if (this.held.has(wish.id)) return;
+  // Starts a request. An id that is already in use is ignored.
+  submit(now: Micros, request: Request, actions: Action[]): void {
+    if (this.pending.has(request.id)) return;
     ++this.statistics.requests;
-    const held: Held = {
-      wish,
-      trying: false,
-      endsAt: now + wish.timeout,
+    const pending: PendingRequest = {
+      request,
+      attempting: false,
+      deadline: now + request.timeout,
       wakeAt: 0,
       notBefore: 0,
       attempt: 0,
       director: 0,
-      bound: "",
-      boundBefore: "",
-      keySent: "",
-      sentTo: "",
-      sentToBefore: "",
+      pinnedAddress: "",
+      pinnedBefore: "",
+      sentKey: "",
+      keyDirector: "",
+      keyDirectorBefore: "",
       firstSentAt: 0,
-      sentNow: false,
-      tries: 0,
-      waits: 0,
-      sentOnce: false,
+      attemptSent: false,
+      attempts: 0,
+      backoffs: 0,
+      everSent: false,
     };
-    this.held.set(wish.id, held);
-    this.firsts.push(now);
-    this.remind(held.endsAt, wish.id);
-    this.go(now, held, acts);
+    this.pending.set(request.id, pending);
+    this.firstAttemptTimes.push(now);
+    this.insertWakeUp(pending.deadline, request.id);
+    this.proceed(now, pending, actions);
   }
 
-  cancel(_now: Micros, wish: number, acts: Action[]): void {
-    const held = this.held.get(wish);
-    if (held !== undefined) this.end(held, "cancelled", 0, 0, acts);
+  // Gives up a request; it is reported as cancelled.
+  cancel(_now: Micros, request: number, actions: Action[]): void {
+    const pending = this.pending.get(request);
+    if (pending !== undefined) this.finish(pending, "cancelled", 0, 0, actions);
   }
 
-  // Undefined: the try is over, and nothing is to be sent.
+  // The connection of the attempt is established and the director has named itself. Returns what the message has
+  // to carry; from this call on the director may accept the attempt. Undefined means that nothing must be sent:
+  // the attempt has ended, or was sent already.
   beginSend(now: Micros, attempt: number, director: string): SendParameters | undefined {
-    const held = this.byTry(attempt);
-    if (held === undefined || held.sentNow) return undefined;
-    const again = held.sentTo;
-    if (again === "") {
-      held.keySent = `${director}:${held.wish.key}`;
-      held.firstSentAt = now;
+    const pending = this.findByAttempt(attempt);
+    if (pending === undefined || pending.attemptSent) return undefined;
+    const previousDirector = pending.keyDirector;
+    if (previousDirector === "") {
+      pending.sentKey = `${director}:${pending.request.key}`;
+      pending.firstSentAt = now;
     }
-    const out: SendParameters = {
-      key: held.keySent,
-      again,
-      againAge: again === "" ? undefined : now - held.firstSentAt,
-      // Guards against a director that answers after the client gave up: it is told how long there is.
-      timeLeft: Math.max(1000, held.endsAt - now),
+    const parameters: SendParameters = {
+      key: pending.sentKey,
+      previousDirector,
+      sinceFirstSent: previousDirector === "" ? undefined : now - pending.firstSentAt,
+      // The director must not answer after the client has given up, so it is told the time left.
+      timeLeft: Math.max(minStatedTimeLeft, pending.deadline - now),
     };
-    held.sentTo = director;
-    held.sentOnce = held.sentNow = true;
-    // Guards against a second charge at a director that knows nothing of the first.
-    const known = this.directors[held.director];
-    if (held.wish.unsafe && known !== undefined) held.bound = known.at.address;
-    return out;
+    pending.keyDirector = director;
+    pending.everSent = pending.attemptSent = true;
+    // Another director would not know of this attempt and could charge the viewer a second time.
+    const state = this.directors[pending.director];
+    if (pending.request.unsafe && state !== undefined) pending.pinnedAddress = state.endpoint.address;
+    return parameters;
   }
 
-  failed(now: Micros, attempt: number, acts: Action[], unread = false): void {
-    const held = this.byTry(attempt);
-    if (held === undefined) return;
-    this.tries.delete(attempt);
-    held.trying = false;
-    // What was proved of this try says nothing of those before it.
+  // The attempt ended without an answer: it was never sent, or its connection was lost afterwards. `unread`: the
+  // peer proved that it did not read the message (RFC 9113: a stream above the last one in GOAWAY, or
+  // REFUSED_STREAM).
+  failed(now: Micros, attempt: number, actions: Action[], unread = false): void {
+    const pending = this.findByAttempt(attempt);
+    if (pending === undefined) return;
+    this.attempts.delete(attempt);
+    pending.attempting = false;
+    // The proof covers this attempt only: an earlier attempt may still have been accepted.
     if (unread) {
-      held.bound = held.boundBefore;
-      held.sentTo = held.sentToBefore;
+      pending.pinnedAddress = pending.pinnedBefore;
+      pending.keyDirector = pending.keyDirectorBefore;
     }
-    this.shun(now, held.director, 0);
-    // Another director may be asked at once; the same one only after a wait.
-    if (held.bound === "") this.go(now, held, acts);
-    else this.wait(now, held, 0, acts);
+    this.eject(now, pending.director, 0);
+    // A different director can be tried immediately; the pinned one only after a backoff.
+    if (pending.pinnedAddress === "") this.proceed(now, pending, actions);
+    else this.backOff(now, pending, 0, actions);
   }
 
+  // A director answered the attempt. `retryAfter` is the delay that it requested; `directorDrains` says that it is
+  // shutting down.
   answered(
     now: Micros,
     attempt: number,
     answer: Answer,
     retryAfter: Micros,
     directorDrains: boolean,
-    acts: Action[],
+    actions: Action[],
   ): void {
-    const held = this.byTry(attempt);
-    if (held === undefined) return;
-    this.tries.delete(attempt);
-    held.trying = false;
-    const director = held.director;
-    const known = this.directors[director];
-    if (known !== undefined && !directorDrains) known.failures = 0;
-    if (answer === "playing") return this.end(held, "playing", director, 0, acts);
-    // Guards against a mistake of the program that is asked again and again, and then called a throttle.
-    if (answer === "wrong") return this.end(held, "terminated", director, 0, acts);
-    if (directorDrains) this.shun(now, director, retryAfter);
+    const pending = this.findByAttempt(attempt);
+    if (pending === undefined) return;
+    this.attempts.delete(attempt);
+    pending.attempting = false;
+    const director = pending.director;
+    const state = this.directors[director];
+    if (state !== undefined && !directorDrains) state.consecutiveFailures = 0;
+    if (answer === "playing") return this.finish(pending, "playing", director, 0, actions);
+    // A request with an unknown name is an error of the program: a retry cannot succeed, and the final result would
+    // be a misleading `throttled`.
+    if (answer === "wrong") return this.finish(pending, "terminated", director, 0, actions);
+    if (directorDrains) this.eject(now, director, retryAfter);
     if (answer === "terminated") {
-      if (held.wish.unsafe) return this.end(held, "terminated", director, 0, acts);
-      return this.wait(now, held, retryAfter, acts);
+      if (pending.request.unsafe) return this.finish(pending, "terminated", director, 0, actions);
+      return this.backOff(now, pending, retryAfter, actions);
     }
-    // Throttled: nothing of it ran, so an unsafe wish is free to go elsewhere again.
-    held.bound = "";
-    held.sentTo = "";
-    this.wait(now, held, retryAfter, acts);
+    // Throttled: nothing was executed, so an unsafe request may be sent to any director again.
+    pending.pinnedAddress = "";
+    pending.keyDirector = "";
+    this.backOff(now, pending, retryAfter, actions);
   }
 
-  tick(now: Micros, acts: Action[]): void {
-    while (this.dues.length > 0 && this.dues[0]!.at <= now) {
-      const { wish } = this.dues.shift()!;
-      const held = this.held.get(wish);
-      if (held === undefined) continue;
-      if (now >= held.endsAt) {
-        if (held.trying) this.shun(now, held.director, 0);
-        this.end(held, this.lastWord(held), held.director, 0, acts);
+  // Executes everything that is due at `now`.
+  tick(now: Micros, actions: Action[]): void {
+    while (this.wakeUps.length > 0 && this.wakeUps[0]!.at <= now) {
+      const { request } = this.wakeUps.shift()!;
+      const pending = this.pending.get(request);
+      if (pending === undefined) continue;
+      if (now >= pending.deadline) {
+        if (pending.attempting) this.eject(now, pending.director, 0);
+        this.finish(pending, this.resultWithoutAnswer(pending), pending.director, 0, actions);
         continue;
       }
-      if (held.wakeAt === 0 || now < held.wakeAt) continue;
-      held.wakeAt = 0;
-      if (!held.trying) {
-        this.go(now, held, acts);
+      if (pending.wakeAt === 0 || now < pending.wakeAt) continue;
+      pending.wakeAt = 0;
+      if (!pending.attempting) {
+        this.proceed(now, pending, actions);
         continue;
       }
-      // An unsafe ask that may have been taken is never called off: its answer is the only one there is.
-      if (held.wish.unsafe && held.sentNow) continue;
-      // Guards against a director that takes connections and says nothing on them.
-      acts.push({ act: "abandon", attempt: held.attempt });
-      this.failed(now, held.attempt, acts);
+      // An unsafe attempt that may have been accepted is never abandoned: only its answer tells whether it ran.
+      if (pending.request.unsafe && pending.attemptSent) continue;
+      // The director may accept connections without ever answering on them.
+      actions.push({ kind: "abandonAttempt", attempt: pending.attempt });
+      this.failed(now, pending.attempt, actions);
     }
   }
 
+  // When tick has to be called next if no event occurs before; the largest safe integer if nothing is scheduled.
   due(): Micros {
-    return this.dues[0]?.at ?? never;
+    return this.wakeUps[0]?.at ?? never;
   }
 
   // ---- decisions ----
 
-  private byTry(attempt: number): Held | undefined {
-    const wish = this.tries.get(attempt);
-    return wish === undefined ? undefined : this.held.get(wish);
+  // Undefined if the attempt has ended.
+  private findByAttempt(attempt: number): PendingRequest | undefined {
+    const request = this.attempts.get(attempt);
+    return request === undefined ? undefined : this.pending.get(request);
   }
 
-  private remind(at: Micros, wish: number): void {
+  private insertWakeUp(at: Micros, request: number): void {
     let low = 0;
-    let high = this.dues.length;
+    let high = this.wakeUps.length;
     while (low < high) {
       const middle = (low + high) >> 1;
-      if (this.dues[middle]!.at <= at) low = middle + 1;
+      if (this.wakeUps[middle]!.at <= at) low = middle + 1;
       else high = middle;
     }
-    this.dues.splice(low, 0, { at, wish });
+    this.wakeUps.splice(low, 0, { at, request });
   }
 
-  private note(held: Held, at: Micros): void {
-    held.wakeAt = at;
-    this.remind(at, held.wish.id);
+  // Schedules the request's next wake-up, in place of an earlier one.
+  private wake(pending: PendingRequest, at: Micros): void {
+    pending.wakeAt = at;
+    this.insertWakeUp(at, pending.request.id);
   }
 
-  private jitter(most: Micros): Micros {
-    if (most <= 0) return 0;
-    return Math.trunc(((this.chance.next() % 1_000_000) / 1e6) * most);
+  // A random time in [0, span).
+  private jitter(span: Micros): Micros {
+    if (span <= 0) return 0;
+    return Math.trunc(((this.random.next() % 1_000_000) / 1e6) * span);
   }
 
-  private lastWord(held: Held): Result {
-    if (held.bound !== "") return "unknown";
-    return held.sentOnce ? "throttled" : "unreachable";
+  // The result of a request that ends without a final answer.
+  private resultWithoutAnswer(pending: PendingRequest): Result {
+    if (pending.pinnedAddress !== "") return "unknown";
+    return pending.everSent ? "throttled" : "unreachable";
   }
 
-  private end(held: Held, result: Result, director: number, retryAfter: Micros, acts: Action[]): void {
-    if (held.trying) {
-      acts.push({ act: "abandon", attempt: held.attempt });
-      this.tries.delete(held.attempt);
+  // Reports the result and removes `pending`.
+  private finish(
+    pending: PendingRequest,
+    result: Result,
+    director: number,
+    retryAfter: Micros,
+    actions: Action[],
+  ): void {
+    if (pending.attempting) {
+      actions.push({ kind: "abandonAttempt", attempt: pending.attempt });
+      this.attempts.delete(pending.attempt);
     }
-    acts.push({ act: "give", request: held.wish.id, result, director, retryAfter });
-    this.held.delete(held.wish.id);
+    actions.push({ kind: "reportResult", request: pending.request.id, result, director, retryAfter });
+    this.pending.delete(pending.request.id);
   }
 
-  private spend(now: Micros): boolean {
-    forget(this.firsts, now - this.manners.budgetWindow);
-    forget(this.furthers, now - this.manners.budgetWindow);
-    const most = this.manners.minRetries + this.manners.budgetShare * this.firsts.length;
-    if (this.furthers.length + 1 > most) return false;
-    this.furthers.push(now);
+  // Takes one retry from the retry budget; false if it is exhausted.
+  private takeRetry(now: Micros): boolean {
+    removeUntil(this.firstAttemptTimes, now - this.policy.budgetWindow);
+    removeUntil(this.retryTimes, now - this.policy.budgetWindow);
+    const maxRetries = this.policy.minRetries + this.policy.budgetShare * this.firstAttemptTimes.length;
+    if (this.retryTimes.length + 1 > maxRetries) return false;
+    this.retryTimes.push(now);
     return true;
   }
 
-  private shun(now: Micros, director: number, least: Micros): void {
-    const known = this.directors[director];
-    if (known === undefined) return;
-    const span = Math.min(this.manners.maxEjection, doubled(this.manners.minEjection, known.failures, 20));
-    ++known.failures;
+  // Excludes the director from selection for at least `minSpan`.
+  private eject(now: Micros, director: number, minSpan: Micros): void {
+    const state = this.directors[director];
+    if (state === undefined) return;
+    const span = Math.min(
+      this.policy.maxEjection,
+      doubled(this.policy.minEjection, state.consecutiveFailures, maxDoublings),
+    );
+    ++state.consecutiveFailures;
     ++this.statistics.ejections;
-    // Half of it by chance: all clients saw the same failure at the same time.
+    // Half of the span is random, because all clients see the same failure at the same time.
     const half = Math.trunc(span / 2);
-    known.shunUntil = Math.max(known.shunUntil, now + Math.max(least, half + this.jitter(half)));
+    state.ejectedUntil = Math.max(state.ejectedUntil, now + Math.max(minSpan, half + this.jitter(half)));
   }
 
-  // A place in the list, or from when somebody can be asked.
-  private choose(now: Micros, held: Held): { director: number; freeAt: Micros } {
-    let freeAt = never;
-    let soonest = noPlace;
-    const near: number[] = [];
-    const far: number[] = [];
-    this.directors.forEach((known, place) => {
-      if (held.bound !== "" && known.at.address !== held.bound) return;
-      // A bound wish has nowhere else to go: its waits are its own, not those of the director's other callers.
-      if (known.shunUntil > now && held.bound === "") {
-        if (known.shunUntil < freeAt) {
-          freeAt = known.shunUntil;
-          soonest = place;
+  // The index of a director, or noDirector and the time from which one is available.
+  private pickDirector(now: Micros, pending: PendingRequest): { director: number; availableAt: Micros } {
+    let availableAt = never;
+    let firstAvailable = noDirector;
+    const sameZone: number[] = [];
+    const otherZones: number[] = [];
+    this.directors.forEach((state, index) => {
+      if (pending.pinnedAddress !== "" && state.endpoint.address !== pending.pinnedAddress) return;
+      // A pinned request has no alternative: it follows its own backoff and ignores ejections, which other requests
+      // may have caused.
+      if (state.ejectedUntil > now && pending.pinnedAddress === "") {
+        if (state.ejectedUntil < availableAt) {
+          availableAt = state.ejectedUntil;
+          firstAvailable = index;
         }
         return;
       }
-      (known.at.building === this.manners.building ? near : far).push(place);
+      (state.endpoint.zone === this.policy.zone ? sameZone : otherZones).push(index);
     });
-    const from = near.length === 0 ? far : near;
-    // Guards against a client that turns its viewers away unasked: where every director fails some asks, all of
-    // them are shunned at once. A first try is nobody's storm, and goes to the one that is free the soonest.
-    if (from.length === 0) return { director: held.tries === 0 ? soonest : noPlace, freeAt };
-    return { director: from[this.chance.next() % from.length]!, freeAt };
+    const candidates = sameZone.length === 0 ? otherZones : sameZone;
+    // If every director fails some requests, all of them are ejected at once. A first attempt cannot cause a retry
+    // storm, so it goes to the director whose ejection ends first; otherwise the client would refuse its viewers
+    // without asking any director.
+    if (candidates.length === 0) return { director: pending.attempts === 0 ? firstAvailable : noDirector, availableAt };
+    return { director: candidates[this.random.next() % candidates.length]!, availableAt };
   }
 
-  private go(now: Micros, held: Held, acts: Action[]): void {
-    if (held.endsAt - now < leastTime) return this.end(held, this.lastWord(held), held.director, 0, acts);
-    if (held.notBefore > now) return this.note(held, held.notBefore);
-    const { director, freeAt } = this.choose(now, held);
-    if (director === noPlace) {
-      // Nobody to ask within its time is told at once, with the time at which it makes sense to come back.
-      if (freeAt > held.endsAt - leastTime) {
-        const retryAfter = freeAt === never ? this.manners.maxBackoff : freeAt - now;
-        return this.end(held, this.lastWord(held), held.director, retryAfter, acts);
+  // Starts the next attempt, schedules it, or ends the request if no attempt is possible.
+  private proceed(now: Micros, pending: PendingRequest, actions: Action[]): void {
+    if (pending.deadline - now < minAttemptTime)
+      return this.finish(pending, this.resultWithoutAnswer(pending), pending.director, 0, actions);
+    if (pending.notBefore > now) return this.wake(pending, pending.notBefore);
+    const { director, availableAt } = this.pickDirector(now, pending);
+    if (director === noDirector) {
+      // No director becomes available before the deadline: report that now, with the time for a new request.
+      if (availableAt > pending.deadline - minAttemptTime) {
+        const retryAfter = availableAt === never ? this.policy.maxBackoff : availableAt - now;
+        return this.finish(pending, this.resultWithoutAnswer(pending), pending.director, retryAfter, actions);
       }
-      return this.note(held, freeAt);
+      return this.wake(pending, availableAt);
     }
-    if (held.tries >= this.manners.maxAttempts || (held.tries > 0 && !this.spend(now))) {
-      if (held.tries < this.manners.maxAttempts) ++this.statistics.budgetRefused;
-      const retryAfter = doubled(this.manners.minBackoff, held.waits, 7);
-      return this.end(held, this.lastWord(held), held.director, retryAfter, acts);
+    if (pending.attempts >= this.policy.maxAttempts || (pending.attempts > 0 && !this.takeRetry(now))) {
+      if (pending.attempts < this.policy.maxAttempts) ++this.statistics.budgetRefused;
+      const retryAfter = doubled(this.policy.minBackoff, pending.backoffs, maxHintDoublings);
+      return this.finish(pending, this.resultWithoutAnswer(pending), pending.director, retryAfter, actions);
     }
-    if (held.tries++ > 0) ++this.statistics.retries;
+    if (pending.attempts++ > 0) ++this.statistics.retries;
     ++this.statistics.attempts;
-    held.trying = true;
-    held.director = director;
-    held.boundBefore = held.bound;
-    held.sentToBefore = held.sentTo;
-    held.sentNow = false;
-    held.attempt = ++this.last;
-    this.tries.set(held.attempt, held.wish.id);
-    const timeLeft = held.endsAt - now;
-    if (this.manners.attemptTimeout < timeLeft) this.note(held, now + this.manners.attemptTimeout);
-    acts.push({
-      act: "try",
-      request: held.wish.id,
-      attempt: held.attempt,
+    pending.attempting = true;
+    pending.director = director;
+    pending.pinnedBefore = pending.pinnedAddress;
+    pending.keyDirectorBefore = pending.keyDirector;
+    pending.attemptSent = false;
+    pending.attempt = ++this.lastAttempt;
+    this.attempts.set(pending.attempt, pending.request.id);
+    const timeLeft = pending.deadline - now;
+    if (this.policy.attemptTimeout < timeLeft) this.wake(pending, now + this.policy.attemptTimeout);
+    actions.push({
+      kind: "startAttempt",
+      request: pending.request.id,
+      attempt: pending.attempt,
       director,
-      key: held.wish.key,
+      key: pending.request.key,
       timeLeft,
     });
   }
 
-  // Full jitter over a span that doubles, after what the answer asked for: a crowd refused together does not
-  // come back together.
-  private wait(now: Micros, held: Held, least: Micros, acts: Action[]): void {
-    const span = Math.min(this.manners.maxBackoff, doubled(this.manners.minBackoff, held.waits, 20));
-    ++held.waits;
-    const at = now + least + this.jitter(span);
-    held.notBefore = now + least;
-    if (at > held.endsAt - leastTime) {
-      // A bound wish waits for its one chance until the end; others are told now when to come back.
-      if (held.bound === "")
-        return this.end(held, this.lastWord(held), held.director, Math.max(least, at - now), acts);
-      return this.note(held, Math.max(now + 1, held.endsAt - leastTime));
+  // Schedules a retry after `minDelay` plus a random backoff, or ends the request if that is too late. Exponential
+  // backoff with full jitter on top of the requested delay, so that clients that were refused at the same time do
+  // not retry at the same time.
+  private backOff(now: Micros, pending: PendingRequest, minDelay: Micros, actions: Action[]): void {
+    const span = Math.min(this.policy.maxBackoff, doubled(this.policy.minBackoff, pending.backoffs, maxDoublings));
+    ++pending.backoffs;
+    const at = now + minDelay + this.jitter(span);
+    pending.notBefore = now + minDelay;
+    if (at > pending.deadline - minAttemptTime) {
+      // A pinned request keeps waiting and makes a last attempt just before its deadline. Any other request ends now
+      // and reports when a new one makes sense.
+      if (pending.pinnedAddress === "")
+        return this.finish(
+          pending,
+          this.resultWithoutAnswer(pending),
+          pending.director,
+          Math.max(minDelay, at - now),
+          actions,
+        );
+      return this.wake(pending, Math.max(now + 1, pending.deadline - minAttemptTime));
     }
-    this.note(held, at);
+    this.wake(pending, at);
   }
 }
--- a/client/grpc/transport.cpp
+++ b/client/grpc/transport.cpp
@@ -16,29 +16,32 @@
 using grpc::Http2;
 using grpc::StreamId;
 
-constexpr std::size_t messageMost = 65536;
+constexpr std::size_t maxMessageBytes = 65536;
+constexpr Micros minHandshakeTimeout = 100'000;
 
 class GrpcLink;
 
-// One connection to a director and the links on it.
-struct Wire {
+// An HTTP/2 connection to a director and the links on it.
+struct Connection {
   std::string address;
   std::unique_ptr<Http2> http;
-  std::string director;  // once it has said who it is
-  StreamId who = 0;
-  grpc::Reader whoReader{messageMost};
-  bool lost = false;
-  std::vector<GrpcLink*> links;  // in the order in which they came
+  std::string director;  // the director's name; empty until its Who reply has arrived
+  StreamId whoStream = 0;
+  grpc::Reader whoReader{maxMessageBytes};
+  bool lost = false;             // closing or closed: takes no further links
+  std::vector<GrpcLink*> links;  // in the order of creation
   std::map<StreamId, GrpcLink*> byStream;
 };
 
-class Grpc final : public Transport, public Http2::Handler {
+// Opens links as streams on shared connections, one connection for each director address.
+class GrpcTransport final : public Transport, public Http2::Handler {
  public:
-  Grpc(event_base* base, net::Connect connect) : base_(base), connect_(std::move(connect)) {}
-  ~Grpc() override;
+  GrpcTransport(event_base* base, net::Connect connect) : base_(base), connect_(std::move(connect)) {}
+  ~GrpcTransport() override;
   std::unique_ptr<Link> open(const std::string& address, Micros timeLeft, LinkHandler& handler) override;
   void tick(Micros now) override;
-  void drop(GrpcLink& link);
+  // Detaches a link that is being destroyed and resets its stream if that is still open.
+  void removeLink(GrpcLink& link);
 
  private:
   void onOpen(Http2& http) override;
@@ -47,210 +50,219 @@
   void onEnd(Http2&, StreamId) override {}
   void onStreamClosed(Http2& http, StreamId stream, std::uint32_t code) override;
   void onClosed(Http2& http) override;
-  Wire* wireOf(Http2& http);
-  void askWho(Wire& wire);
-  void greet(Wire& wire);
+  Connection* connectionOf(Http2& http);
+  // Asks the director for its name.
+  void sendWho(Connection& connection);
+  // Reports the director's name to the links that do not know it yet.
+  void reportHello(Connection& connection);
 
   event_base* base_;
   net::Connect connect_;
-  std::vector<std::unique_ptr<Wire>> wires_;
+  std::vector<std::unique_ptr<Connection>> connections_;
 };
 
+// One Play stream. Waits on its connection until the director has named itself and the request is sent.
 class GrpcLink final : public Link {
  public:
-  GrpcLink(Grpc& owner, Wire* at, LinkHandler& to) : wire(at), handler(to), owner_(owner) {}
-  ~GrpcLink() override { owner_.drop(*this); }
+  GrpcLink(GrpcTransport& owner, Connection* on, LinkHandler& receiver)
+      : connection(on), handler(receiver), owner_(owner) {}
+  ~GrpcLink() override { owner_.removeLink(*this); }
 
   void sendPlay(const session_api::PlayMessage& message) override {
-    if (wire == nullptr || stream != 0) return;
-    stream = wire->http->request({{":method", "POST"},
-                                  {":scheme", "http"},
-                                  {":authority", wire->address},
-                                  {":path", std::string(grpc::playPath)},
-                                  {"content-type", "application/grpc"},
-                                  {"te", "trailers"}});
+    if (connection == nullptr || stream != 0) return;
+    stream = connection->http->request({{":method", "POST"},
+                                        {":scheme", "http"},
+                                        {":authority", connection->address},
+                                        {":path", std::string(grpc::playPath)},
+                                        {"content-type", "application/grpc"},
+                                        {"te", "trailers"}});
     if (stream == 0) {
-      refused = true;  // the connection takes no more: told from the next tick
+      refused = true;  // the connection takes no further streams: reported by the next tick
       return;
     }
-    wire->byStream[stream] = this;
-    wire->http->send(stream, grpc::framed(grpc::bytesOf(message)));
+    connection->byStream[stream] = this;
+    connection->http->send(stream, grpc::framed(grpc::bytesOf(message)));
   }
   void leave() override {
-    if (wire == nullptr || stream == 0) return;
-    wire->http->send(stream, grpc::framed(grpc::leaveBytes()));
-    wire->http->end(stream);
+    if (connection == nullptr || stream == 0) return;
+    connection->http->send(stream, grpc::framed(grpc::leaveBytes()));
+    connection->http->end(stream);
   }
-  bool flushed() const override { return wire == nullptr || wire->http->flushed(); }
+  bool flushed() const override { return connection == nullptr || connection->http->flushed(); }
 
-  void lose(bool unread) {
-    if (over) return;
-    over = true;
+  void reportLost(bool unread) {
+    if (finished) return;
+    finished = true;
     handler.onLost(unread);
   }
 
-  Wire* wire;
+  Connection* connection;
   LinkHandler& handler;
   StreamId stream = 0;
-  grpc::Reader reader{messageMost};
-  bool greeted = false;
-  bool refused = false;
-  bool over = false;  // its last word has been told
+  grpc::Reader reader{maxMessageBytes};
+  bool helloReported = false;
+  bool refused = false;   // its stream could not be opened
+  bool finished = false;  // its last event has been reported
 
  private:
-  Grpc& owner_;
+  GrpcTransport& owner_;
 };
 
-Grpc::~Grpc() {
-  for (auto& wire : wires_) {
-    for (GrpcLink* link : wire->links) link->wire = nullptr;
-    wire->http->abort();
+GrpcTransport::~GrpcTransport() {
+  for (auto& connection : connections_) {
+    for (GrpcLink* link : connection->links) link->connection = nullptr;
+    connection->http->abort();
   }
 }
 
-void Grpc::drop(GrpcLink& link) {
-  Wire* wire = link.wire;
-  if (wire == nullptr) return;
-  std::erase(wire->links, &link);
+void GrpcTransport::removeLink(GrpcLink& link) {
+  Connection* connection = link.connection;
+  if (connection == nullptr) return;
+  std::erase(connection->links, &link);
   if (link.stream == 0) return;
-  wire->byStream.erase(link.stream);
-  if (!link.over) wire->http->reset(link.stream, NGHTTP2_CANCEL);
+  connection->byStream.erase(link.stream);
+  if (!link.finished) connection->http->reset(link.stream, NGHTTP2_CANCEL);
 }
 
-Wire* Grpc::wireOf(Http2& http) {
-  for (auto& wire : wires_)
-    if (wire->http.get() == &http) return wire.get();
+Connection* GrpcTransport::connectionOf(Http2& http) {
+  for (auto& connection : connections_)
+    if (connection->http.get() == &http) return connection.get();
   return nullptr;
 }
 
-std::unique_ptr<Link> Grpc::open(const std::string& address, Micros timeLeft, LinkHandler& handler) {
-  Wire* wire = nullptr;
-  for (auto& one : wires_)
-    if (one->address == address && !one->lost && !one->http->dead() &&
-        (one->director.empty() || one->http->open()))
-      wire = one.get();
-  if (wire == nullptr) {
+std::unique_ptr<Link> GrpcTransport::open(const std::string& address, Micros timeLeft, LinkHandler& handler) {
+  Connection* connection = nullptr;
+  for (auto& candidate : connections_)
+    if (candidate->address == address && !candidate->lost && !candidate->http->dead() &&
+        (candidate->director.empty() || candidate->http->open()))
+      connection = candidate.get();
+  if (connection == nullptr) {
     const std::size_t colon = address.rfind(':');
     if (colon == std::string::npos) return nullptr;
     net::BufferEvent bufferEvent =
         connect_(base_, address.substr(0, colon), std::atoi(address.c_str() + colon + 1));
     if (!bufferEvent) return nullptr;
     grpc::Http2Limits limits;
-    limits.handshake = std::max<Micros>(100'000, std::min<Micros>(limits.handshake, timeLeft));
-    auto made = std::make_unique<Wire>();
-    made->address = address;
-    made->http = std::make_unique<Http2>(std::move(bufferEvent), *this, limits, false);
-    wire = made.get();
-    wires_.push_back(std::move(made));
+    limits.handshake = std::max(Micros{minHandshakeTimeout}, std::min<Micros>(limits.handshake, timeLeft));
+    auto created = std::make_unique<Connection>();
+    created->address = address;
+    created->http = std::make_unique<Http2>(std::move(bufferEvent), *this, limits, false);
+    connection = created.get();
+    connections_.push_back(std::move(created));
   }
-  auto link = std::make_unique<GrpcLink>(*this, wire, handler);
-  wire->links.push_back(link.get());
+  auto link = std::make_unique<GrpcLink>(*this, connection, handler);
+  connection->links.push_back(link.get());
   return link;
 }
 
-void Grpc::onOpen(Http2& http) {
-  if (Wire* wire = wireOf(http)) askWho(*wire);
+void GrpcTransport::onOpen(Http2& http) {
+  if (Connection* connection = connectionOf(http)) sendWho(*connection);
 }
 
-void Grpc::askWho(Wire& wire) {
-  wire.who = wire.http->request({{":method", "POST"},
-                                 {":scheme", "http"},
-                                 {":authority", wire.address},
-                                 {":path", std::string(grpc::whoPath)},
-                                 {"content-type", "application/grpc"},
-                                 {"te", "trailers"}});
-  wire.http->send(wire.who, grpc::framed(""));
-  wire.http->end(wire.who);
+void GrpcTransport::sendWho(Connection& connection) {
+  connection.whoStream = connection.http->request({{":method", "POST"},
+                                                   {":scheme", "http"},
+                                                   {":authority", connection.address},
+                                                   {":path", std::string(grpc::whoPath)},
+                                                   {"content-type", "application/grpc"},
+                                                   {"te", "trailers"}});
+  connection.http->send(connection.whoStream, grpc::framed(""));
+  connection.http->end(connection.whoStream);
 }
 
-void Grpc::greet(Wire& wire) {
-  const std::vector<GrpcLink*> links = wire.links;
+void GrpcTransport::reportHello(Connection& connection) {
+  const std::vector<GrpcLink*> links = connection.links;
   for (GrpcLink* link : links) {
-    if (std::find(wire.links.begin(), wire.links.end(), link) == wire.links.end() || link->greeted) continue;
-    link->greeted = true;
-    link->handler.onHello(wire.director);
+    if (std::find(connection.links.begin(), connection.links.end(), link) == connection.links.end() ||
+        link->helloReported)
+      continue;
+    link->helloReported = true;
+    link->handler.onHello(connection.director);
   }
 }
 
-void Grpc::onHeaders(Http2& http, StreamId stream, const Headers& headers) {
-  Wire* wire = wireOf(http);
-  if (wire == nullptr || grpc::valueOf(headers, "grpc-status").empty()) return;
-  const auto it = wire->byStream.find(stream);
-  if (it == wire->byStream.end()) return;
+void GrpcTransport::onHeaders(Http2& http, StreamId stream, const Headers& headers) {
+  Connection* connection = connectionOf(http);
+  if (connection == nullptr || grpc::valueOf(headers, "grpc-status").empty()) return;
+  const auto it = connection->byStream.find(stream);
+  if (it == connection->byStream.end()) return;
   GrpcLink& link = *it->second;
   const grpc::Trailers trailers = grpc::readTrailers(headers);
-  if (link.over) return;
-  // Without a word of the director's own, what became of the ask is not known; an `ended` was told as a
-  // message.
-  if (!trailers.ours) return link.lose(false);
-  link.over = true;
+  if (link.finished) return;
+  // Trailers that a director did not write leave the outcome of the request unknown.
+  if (!trailers.ours) return link.reportLost(false);
+  link.finished = true;
+  // An `ended` was reported already, from its message.
   if (trailers.answer.kind != session_api::AnswerKind::ended) link.handler.onAnswer(trailers.answer);
 }
 
-void Grpc::onData(Http2& http, StreamId stream, std::string_view bytes) {
-  Wire* wire = wireOf(http);
-  if (wire == nullptr) return;
-  if (stream == wire->who) {
-    wire->whoReader.feed(bytes);
-    const auto message = wire->whoReader.next();
+void GrpcTransport::onData(Http2& http, StreamId stream, std::string_view bytes) {
+  Connection* connection = connectionOf(http);
+  if (connection == nullptr) return;
+  if (stream == connection->whoStream) {
+    connection->whoReader.feed(bytes);
+    const auto message = connection->whoReader.next();
     const auto director = message ? grpc::readWhoReply(*message) : std::nullopt;
     if (!director) return;
-    wire->director = *director;
-    return greet(*wire);
+    connection->director = *director;
+    return reportHello(*connection);
   }
-  const auto it = wire->byStream.find(stream);
-  if (it == wire->byStream.end()) return;
+  const auto it = connection->byStream.find(stream);
+  if (it == connection->byStream.end()) return;
   GrpcLink& link = *it->second;
-  if (!link.reader.feed(bytes)) return link.lose(false);
-  while (!link.over) {
+  if (!link.reader.feed(bytes)) return link.reportLost(false);
+  while (!link.finished) {
     const auto message = link.reader.next();
     if (!message) return;
     const auto answer = grpc::readAnswer(*message);
-    if (!answer) continue;  // a newer director may say more than this library knows
-    // The stream's trailers follow an `ended`; nothing after it matters.
-    if (answer->kind == session_api::AnswerKind::ended) link.over = true;
+    if (!answer) continue;  // a newer director may send messages that this library does not know
+    // Only the stream's trailers follow an `ended`, and they add nothing.
+    if (answer->kind == session_api::AnswerKind::ended) link.finished = true;
     link.handler.onAnswer(*answer);
   }
 }
 
-void Grpc::onStreamClosed(Http2& http, StreamId stream, std::uint32_t code) {
-  Wire* wire = wireOf(http);
-  if (wire == nullptr) return;
-  if (stream == wire->who && wire->director.empty()) {
-    wire->lost = true;
+void GrpcTransport::onStreamClosed(Http2& http, StreamId stream, std::uint32_t code) {
+  Connection* connection = connectionOf(http);
+  if (connection == nullptr) return;
+  if (stream == connection->whoStream && connection->director.empty()) {
+    connection->lost = true;
     return http.close(NGHTTP2_NO_ERROR);
   }
-  const auto it = wire->byStream.find(stream);
-  if (it == wire->byStream.end()) return;
+  const auto it = connection->byStream.find(stream);
+  if (it == connection->byStream.end()) return;
   GrpcLink& link = *it->second;
-  wire->byStream.erase(it);
-  link.lose(code == NGHTTP2_REFUSED_STREAM);
+  connection->byStream.erase(it);
+  // REFUSED_STREAM proves that the request was not processed (RFC 9113).
+  link.reportLost(code == NGHTTP2_REFUSED_STREAM);
 }
 
-void Grpc::onClosed(Http2& http) {
-  Wire* wire = wireOf(http);
-  if (wire == nullptr) return;
-  wire->lost = true;
-  const std::vector<GrpcLink*> links = wire->links;
+void GrpcTransport::onClosed(Http2& http) {
+  Connection* connection = connectionOf(http);
+  if (connection == nullptr) return;
+  connection->lost = true;
+  // A link without a stream never sent its request.
+  const std::vector<GrpcLink*> links = connection->links;
   for (GrpcLink* link : links)
-    if (std::find(wire->links.begin(), wire->links.end(), link) != wire->links.end())
-      link->lose(link->stream == 0);
+    if (std::find(connection->links.begin(), connection->links.end(), link) != connection->links.end())
+      link->reportLost(link->stream == 0);
 }
 
-void Grpc::tick(Micros now) {
-  for (std::size_t i = 0; i < wires_.size(); ++i) {
-    Wire& wire = *wires_[i];
-    wire.http->tick(now);
-    if (!wire.director.empty() && !wire.lost) greet(wire);
-    const std::vector<GrpcLink*> links = wire.links;
+void GrpcTransport::tick(Micros now) {
+  for (std::size_t i = 0; i < connections_.size(); ++i) {
+    Connection& connection = *connections_[i];
+    connection.http->tick(now);
+    if (!connection.director.empty() && !connection.lost) reportHello(connection);
+    const std::vector<GrpcLink*> links = connection.links;
     for (GrpcLink* link : links)
-      if (std::find(wire.links.begin(), wire.links.end(), link) != wire.links.end() && link->refused)
-        link->lose(true);
+      if (std::find(connection.links.begin(), connection.links.end(), link) != connection.links.end() &&
+          link->refused)
+        link->reportLost(true);
   }
-  // Freed here, outside of their own callbacks.
-  std::erase_if(wires_, [](const auto& wire) {
-    if (!wire->lost || !wire->http->dead()) return false;
-    for (GrpcLink* link : wire->links) link->wire = nullptr;
+  // Connections are destroyed here, outside of their own callbacks.
+  std::erase_if(connections_, [](const auto& connection) {
+    if (!connection->lost || !connection->http->dead()) return false;
+    for (GrpcLink* link : connection->links) link->connection = nullptr;
     return true;
   });
 }
@@ -258,7 +270,7 @@
 }  // namespace
 
 std::unique_ptr<Transport> makeGrpc(event_base* base, net::Connect connect) {
-  return std::make_unique<Grpc>(base, std::move(connect));
+  return std::make_unique<GrpcTransport>(base, std::move(connect));
 }
 
 }  // namespace lupinsill::client
--- a/client/grpc/transport.h
+++ b/client/grpc/transport.h
@@ -1,5 +1,6 @@
-// Links over gRPC: one HTTP/2 connection a director, a stream a link (docs/protocol/session-grpc.md). A
-// connection that was told GOAWAY keeps its streams; new ones go over a new connection.
+// The gRPC transport: one HTTP/2 connection for each director and one stream for each link
+// (docs/protocol/session-grpc.md). After a GOAWAY a connection keeps its open streams, and new streams use a
+// new connection.
 #pragma once
 
 #include <memory>
@@ -9,6 +10,7 @@
 
 namespace lupinsill::client {
 
+// `connect` opens the TCP or TLS connections.
 std::unique_ptr<Transport> makeGrpc(event_base* base, net::Connect connect = net::connectTo);
 
 }  // namespace lupinsill::client
--- a/client/typescript/src/session_client.ts
+++ b/client/typescript/src/session_client.ts
@@ -1,40 +1,47 @@
-// Subscriptions for websites and Node programs, over the core and a WebSocket a try. It carries out what the core
-// decides, and never decides on a retry itself. Callbacks come from timers and socket events, never from within a
-// call of this class. Times are whole microseconds. A wish gets exactly one result; one that plays then gets
-// exactly one end. No runtime dependency: the WebSocket of the platform, or one handed in.
+// The client library for websites and Node programs: requests subscriptions from directors, with one WebSocket for
+// each attempt, and reports what becomes of them. All retry decisions are made by core.ts. Callbacks are called from
+// timers, never from within a call to this class. Times are whole microseconds. Each request gets exactly one result;
+// if that result is "playing", exactly one end follows unless the program leaves. No runtime dependency: uses the
+// platform's WebSocket, or one that the program passes in.
 import { Core, defaultRetryPolicy } from "../../core/core.js";
-import type { Action, Answer as CoreAnswer, DirectorEndpoint, RetryPolicy, Micros, Result } from "../../core/core.js";
-import { askText, leaveText, readAnswer } from "./messages.js";
-import type { Answer, Ask } from "./messages.js";
+import type { Action, Answer, DirectorEndpoint, RetryPolicy, Micros, Result } from "../../core/core.js";
+import { encodeLeave, encodePlay, readAnswer } from "./messages.js";
+import type { AnswerMessage, PlayMessage } from "./messages.js";
 
-export interface Want {
+// What a viewer wants to watch, and for how long to try.
+export interface SubscriptionRequest {
   viewer: string;
   title: string;
-  room: string;
-  unsafe?: boolean; // a room type that must not be set up twice
+  room: string; // room type
+  unsafe?: boolean; // the room type must not be set up twice
   tenant?: string;
-  top?: number;
-  timeout?: Micros;
-  length?: Micros;
+  top?: number; // highest rung to be delivered
+  timeout?: Micros; // 5 s if not given
+  length?: Micros; // expected duration
 }
 
-export interface Heard {
+// What became of a request.
+export interface SubscriptionResult {
   result: Result;
-  reason: string; // of the director's last answer, where there was one
+  reason: string; // from the last answer of a director; empty if there was none
   subscription: string;
   node: string;
   ticket: string;
   rung: number;
-  comeBackAfter: Micros;
+  retryAfter: Micros; // how long to wait before a new request; 0: not at all
 }
 
-export interface Ears {
-  onResult?: (wish: number, heard: Heard) => void;
-  onEnd?: (wish: number, reason: string, comeBackAfter: Micros) => void;
-  onRung?: (wish: number, rung: number) => void;
+// Events of one request; all are optional.
+export interface SubscriptionCallbacks {
+  onResult?: (request: number, result: SubscriptionResult) => void;
+  // A playing subscription ended without leave().
+  onEnd?: (request: number, reason: string, retryAfter: Micros) => void;
+  // The rung of a playing subscription changed.
+  onRung?: (request: number, rung: number) => void;
 }
 
-// What is used of a WebSocket; that of browsers, of Node 22 and of the package `ws` fit.
+// The part of the WebSocket interface that is used here. The WebSocket classes of browsers, of Node 22 and of the
+// package `ws` satisfy it.
 export interface SocketLike {
   onopen: ((event: never) => void) | null;
   onmessage: ((event: { data: unknown }) => void) | null;
@@ -43,43 +50,51 @@
   send(text: string): void;
   close(): void;
 }
+// Opens a WebSocket with the given subprotocol.
 export type SocketMaker = (url: string, protocol: string) => SocketLike;
 
-export interface Around {
-  manners?: Partial<RetryPolicy>;
-  seed?: number;
-  makeSocket?: SocketMaker;
-  scheme?: "ws" | "wss";
-  now?: () => Micros; // a clock that never runs back
+// Settings of a client; every one has a default.
+export interface SessionClientOptions {
+  retryPolicy?: Partial<RetryPolicy>; // overrides single values of defaultRetryPolicy
+  seed?: number; // initialises the random choices of the retry policy; random if not given
+  makeSocket?: SocketMaker; // the platform's WebSocket if not given
+  scheme?: "ws" | "wss"; // "ws" if not given
+  now?: () => Micros; // a monotonic clock
 }
 
 const subprotocol = "lupinsill.session.v1";
-const tickMost = 50; // ms
-const nothing: Heard = {
+const defaultTimeout: Micros = 5_000_000;
+const maxTickIntervalMs = 50;
+// Names the request on its socket; any text will do, since a socket carries one request only.
+const requestName = "a";
+const noResult: SubscriptionResult = {
   result: "unreachable",
   reason: "",
   subscription: "",
   node: "",
   ticket: "",
   rung: 0,
-  comeBackAfter: 0,
+  retryAfter: 0,
 };
 
-interface Wished {
+// A request from subscribe() until its result, or until the end of the subscription that came of it.
+interface Subscription {
   id: number;
-  want: Want;
-  last: Heard;
-  plays: number; // the try that plays
-  ears: Ears;
+  request: SubscriptionRequest;
+  lastResult: SubscriptionResult;
+  playingAttempt: number; // 0: not playing
+  callbacks: SubscriptionCallbacks;
 }
 
-interface Line {
+// The socket of one attempt.
+interface AttemptLink {
   attempt: number;
-  wish: number;
-  dropped: boolean;
+  request: number;
+  dropped: boolean; // its events are ignored
   socket: SocketLike;
 }
 
+// A random idempotency key.
 function freshKey(): string {
   const bytes = new Uint8Array(16);
   globalThis.crypto.getRandomValues(bytes);
@@ -88,188 +103,214 @@
 
 function platformSocket(url: string, protocol: string): SocketLike {
   const maker = (globalThis as { WebSocket?: new (url: string, protocol: string) => SocketLike }).WebSocket;
-  if (maker === undefined) throw new Error("no WebSocket on this platform: hand one in as makeSocket");
+  if (maker === undefined) throw new Error("this platform has no WebSocket: pass one as the option makeSocket");
   return new maker(url, protocol);
 }
 
+// Requests subscriptions from a list of directors.
 export class SessionClient {
   private readonly core: Core;
   private readonly directors: DirectorEndpoint[];
   private readonly makeSocket: SocketMaker;
   private readonly scheme: string;
   private readonly now: () => Micros;
-  private readonly wishes = new Map<number, Wished>();
-  private readonly lines = new Map<number, Line>();
-  private acts: Action[] = [];
-  private calls: (() => void)[] = [];
+  private readonly subscriptions = new Map<number, Subscription>(); // pending or playing
+  private readonly links = new Map<number, AttemptLink>();
+  private actions: Action[] = []; // of the core, not yet executed
+  private pendingCallbacks: (() => void)[] = []; // of the program, not yet called
   private timer: ReturnType<typeof setTimeout> | undefined;
-  private last = 0;
+  private lastRequest = 0;
 
-  constructor(directors: DirectorEndpoint[], around: Around = {}) {
+  constructor(directors: DirectorEndpoint[], options: SessionClientOptions = {}) {
     this.directors = directors;
-    const seed = around.seed ?? globalThis.crypto.getRandomValues(new Uint32Array(1))[0]!;
-    this.core = new Core(directors, { ...defaultRetryPolicy, ...around.manners }, seed);
-    this.makeSocket = around.makeSocket ?? platformSocket;
-    this.scheme = around.scheme ?? "ws";
-    this.now = around.now ?? (() => Math.trunc(performance.now() * 1000));
+    const seed = options.seed ?? globalThis.crypto.getRandomValues(new Uint32Array(1))[0]!;
+    this.core = new Core(directors, { ...defaultRetryPolicy, ...options.retryPolicy }, seed);
+    this.makeSocket = options.makeSocket ?? platformSocket;
+    this.scheme = options.scheme ?? "ws";
+    this.now = options.now ?? (() => Math.trunc(performance.now() * 1000));
   }
 
   get statistics(): Core["statistics"] {
     return this.core.statistics;
   }
 
-  ask(want: Want, ears: Ears): number {
-    const id = ++this.last;
-    // Nobody else may ever have used the key: one that meets another's is answered from theirs.
+  // Requests a subscription. Returns the id that the callbacks and leave() use.
+  subscribe(request: SubscriptionRequest, callbacks: SubscriptionCallbacks): number {
+    const id = ++this.lastRequest;
+    // Must be unique across all clients: a director answers a key that it knows with the result of the earlier
+    // request.
     const key = freshKey();
-    this.wishes.set(id, { id, want, last: nothing, plays: 0, ears });
-    const timeout = want.timeout ?? 5_000_000;
-    this.core.submit(this.now(), { id, key, unsafe: want.unsafe ?? false, timeout }, this.acts);
-    this.arm();
+    this.subscriptions.set(id, { id, request, lastResult: noResult, playingAttempt: 0, callbacks });
+    const timeout = request.timeout ?? defaultTimeout;
+    this.core.submit(this.now(), { id, key, unsafe: request.unsafe ?? false, timeout }, this.actions);
+    this.armTimer();
     return id;
   }
 
-  // Gives up a wish, or ends what plays.
-  leave(wish: number): void {
-    const wished = this.wishes.get(wish);
-    if (wished === undefined) return;
-    if (wished.plays !== 0) {
-      const line = this.lines.get(wished.plays);
-      this.wishes.delete(wish);
-      if (line !== undefined && !line.dropped) {
-        line.socket.send(leaveText("a"));
-        this.drop(line); // its close follows what was sent
+  // Cancels a pending request, which is reported as cancelled, or ends a playing subscription.
+  leave(request: number): void {
+    const subscription = this.subscriptions.get(request);
+    if (subscription === undefined) return;
+    if (subscription.playingAttempt !== 0) {
+      const link = this.links.get(subscription.playingAttempt);
+      this.subscriptions.delete(request);
+      if (link !== undefined && !link.dropped) {
+        link.socket.send(encodeLeave(requestName));
+        this.drop(link); // closing sends what is still buffered first
       }
       return;
     }
-    this.core.cancel(this.now(), wish, this.acts);
-    this.arm();
+    this.core.cancel(this.now(), request, this.actions);
+    this.armTimer();
   }
 
-  private carry(): void {
-    while (this.acts.length > 0) {
-      const acts = this.acts;
-      this.acts = [];
-      for (const act of acts) {
-        if (act.act === "try") {
-          this.open(act);
-        } else if (act.act === "abandon") {
-          const line = this.lines.get(act.attempt);
-          // The line of a wish that plays lives on: its try is over, not its subscription.
-          if (line !== undefined && this.wishes.get(line.wish)?.plays !== act.attempt) this.drop(line);
+  // Called from the timer only, so that no callback runs within a call by the program.
+  private executeActions(): void {
+    while (this.actions.length > 0) {
+      const actions = this.actions;
+      this.actions = [];
+      for (const action of actions) {
+        if (action.kind === "startAttempt") {
+          this.open(action);
+        } else if (action.kind === "abandonAttempt") {
+          const link = this.links.get(action.attempt);
+          // The socket of a playing subscription stays open: only its attempt is over.
+          if (link !== undefined && this.subscriptions.get(link.request)?.playingAttempt !== action.attempt)
+            this.drop(link);
         } else {
-          const wished = this.wishes.get(act.request);
-          if (wished === undefined) continue;
-          const heard = { ...wished.last, result: act.result, comeBackAfter: act.retryAfter };
-          if (act.result !== "playing") this.wishes.delete(act.request);
-          this.calls.push(() => wished.ears.onResult?.(act.request, heard));
+          const subscription = this.subscriptions.get(action.request);
+          if (subscription === undefined) continue;
+          const result = { ...subscription.lastResult, result: action.result, retryAfter: action.retryAfter };
+          if (action.result !== "playing") this.subscriptions.delete(action.request);
+          this.pendingCallbacks.push(() => subscription.callbacks.onResult?.(action.request, result));
         }
       }
     }
   }
 
-  private open(act: Extract<Action, { act: "try" }>): void {
-    const address = this.directors[act.director]?.address ?? "";
+  private open(action: Extract<Action, { kind: "startAttempt" }>): void {
+    const address = this.directors[action.director]?.address ?? "";
     let socket: SocketLike;
     try {
       socket = this.makeSocket(`${this.scheme}://${address}/`, subprotocol);
     } catch {
-      return this.core.failed(this.now(), act.attempt, this.acts);
+      return this.core.failed(this.now(), action.attempt, this.actions);
     }
-    const line: Line = { attempt: act.attempt, wish: act.request, dropped: false, socket };
-    this.lines.set(act.attempt, line);
+    const link: AttemptLink = { attempt: action.attempt, request: action.request, dropped: false, socket };
+    this.links.set(action.attempt, link);
     socket.onmessage = (event) => {
       const answer = typeof event.data === "string" ? readAnswer(event.data) : undefined;
-      if (answer !== undefined) this.heard(line, answer);
+      if (answer !== undefined) this.handleAnswer(link, answer);
     };
-    socket.onclose = () => this.lost(line);
-    socket.onerror = () => this.lost(line);
+    socket.onclose = () => this.handleLost(link);
+    socket.onerror = () => this.handleLost(link);
   }
 
-  private heard(line: Line, answer: Answer): void {
-    const wished = this.wishes.get(line.wish);
-    if (wished === undefined || line.dropped) return;
-    const told = (what: CoreAnswer): void => {
-      wished.last = { ...wished.last, reason: answer.reason };
+  private handleAnswer(link: AttemptLink, answer: AnswerMessage): void {
+    const subscription = this.subscriptions.get(link.request);
+    if (subscription === undefined || link.dropped) return;
+    const reportAnswer = (coreAnswer: Answer): void => {
+      subscription.lastResult = { ...subscription.lastResult, reason: answer.reason };
       const drains = answer.reason === "draining";
-      this.core.answered(this.now(), line.attempt, what, answer.retryAfter, drains, this.acts);
-      this.arm();
+      this.core.answered(this.now(), link.attempt, coreAnswer, answer.retryAfter, drains, this.actions);
+      this.armTimer();
     };
-    switch (answer.said) {
+    switch (answer.kind) {
       case "hello":
-        return this.hello(line, wished, answer.director);
+        return this.handleHello(link, subscription, answer.director);
       case "playing": {
-        const { subscription, node, ticket, rung } = answer;
-        wished.last = { ...nothing, result: "playing", subscription, node, ticket, rung };
-        wished.plays = line.attempt;
-        return told("playing");
+        const { node, ticket, rung } = answer;
+        subscription.lastResult = {
+          ...noResult,
+          result: "playing",
+          subscription: answer.subscription,
+          node,
+          ticket,
+          rung,
+        };
+        subscription.playingAttempt = link.attempt;
+        return reportAnswer("playing");
       }
       case "throttled":
-        this.drop(line);
-        return told("throttled");
+        this.drop(link);
+        return reportAnswer("throttled");
       case "terminated":
       case "error":
-        this.drop(line);
-        return told(answer.said === "error" ? "wrong" : "terminated");
+        this.drop(link);
+        return reportAnswer(answer.kind === "error" ? "wrong" : "terminated");
       case "rung":
-        wished.last = { ...wished.last, rung: answer.rung };
-        this.calls.push(() => wished.ears.onRung?.(line.wish, answer.rung));
-        return this.arm();
+        subscription.lastResult = { ...subscription.lastResult, rung: answer.rung };
+        this.pendingCallbacks.push(() => subscription.callbacks.onRung?.(link.request, answer.rung));
+        return this.armTimer();
       case "ended":
-        this.drop(line);
-        this.wishes.delete(line.wish);
-        this.calls.push(() => wished.ears.onEnd?.(line.wish, answer.reason, answer.retryAfter));
-        return this.arm();
+        this.drop(link);
+        this.subscriptions.delete(link.request);
+        this.pendingCallbacks.push(() =>
+          subscription.callbacks.onEnd?.(link.request, answer.reason, answer.retryAfter),
+        );
+        return this.armTimer();
     }
   }
 
-  private hello(line: Line, wished: Wished, director: string): void {
-    const sending = this.core.beginSend(this.now(), line.attempt, director);
-    if (sending === undefined) return;
-    const { viewer, title, room, tenant, top, length } = wished.want;
-    const { key, again, againAge, timeLeft } = sending;
-    const ask: Ask = { key, viewer, title, room, tenant, top, length, timeout: timeLeft, again, againAge };
-    line.socket.send(askText("a", ask));
+  private handleHello(link: AttemptLink, subscription: Subscription, director: string): void {
+    const parameters = this.core.beginSend(this.now(), link.attempt, director);
+    if (parameters === undefined) return;
+    const { viewer, title, room, tenant, top, length } = subscription.request;
+    const { key, previousDirector, sinceFirstSent, timeLeft } = parameters;
+    const message: PlayMessage = {
+      key,
+      viewer,
+      title,
+      room,
+      tenant,
+      top,
+      length,
+      timeout: timeLeft,
+      previousDirector,
+      sinceFirstSent,
+    };
+    link.socket.send(encodePlay(requestName, message));
   }
 
-  private lost(line: Line): void {
-    if (line.dropped) return;
-    this.drop(line);
-    const wished = this.wishes.get(line.wish);
-    if (wished !== undefined && wished.plays === line.attempt) {
-      this.wishes.delete(line.wish);
-      this.calls.push(() => wished.ears.onEnd?.(line.wish, "director-lost", 0));
+  private handleLost(link: AttemptLink): void {
+    if (link.dropped) return;
+    this.drop(link);
+    const subscription = this.subscriptions.get(link.request);
+    if (subscription !== undefined && subscription.playingAttempt === link.attempt) {
+      this.subscriptions.delete(link.request);
+      this.pendingCallbacks.push(() => subscription.callbacks.onEnd?.(link.request, "director-lost", 0));
     } else {
-      this.core.failed(this.now(), line.attempt, this.acts);
+      this.core.failed(this.now(), link.attempt, this.actions);
     }
-    this.arm();
+    this.armTimer();
   }
 
-  private drop(line: Line): void {
-    line.dropped = true;
-    this.lines.delete(line.attempt);
-    line.socket.onmessage = null;
-    // An error of a socket that nobody listens to must not become the program's.
-    line.socket.onerror = () => undefined;
-    line.socket.onclose = null;
-    line.socket.close();
+  // Closes the socket and ignores its further events.
+  private drop(link: AttemptLink): void {
+    link.dropped = true;
+    this.links.delete(link.attempt);
+    link.socket.onmessage = null;
+    // Without a handler, an error on the dropped socket would be thrown in the program.
+    link.socket.onerror = () => undefined;
+    link.socket.onclose = null;
+    link.socket.close();
   }
 
-  private arm(): void {
+  private armTimer(): void {
     clearTimeout(this.timer);
-    const busy = this.acts.length > 0 || this.calls.length > 0;
-    const wait = Math.min(tickMost, Math.max(0, Math.ceil((this.core.due() - this.now()) / 1000)));
+    const busy = this.actions.length > 0 || this.pendingCallbacks.length > 0;
+    const wait = Math.min(maxTickIntervalMs, Math.max(0, Math.ceil((this.core.due() - this.now()) / 1000)));
     this.timer = setTimeout(() => this.tick(), busy ? 0 : wait);
   }
 
   private tick(): void {
-    this.core.tick(this.now(), this.acts);
-    this.carry();
-    const calls = this.calls;
-    this.calls = [];
-    for (const call of calls) call();
-    // A program that only listens to what plays is not kept awake: the sockets do that.
-    const waiting = [...this.wishes.values()].some((wished) => wished.plays === 0);
-    if (waiting || this.acts.length > 0 || this.calls.length > 0) this.arm();
+    this.core.tick(this.now(), this.actions);
+    this.executeActions();
+    const pendingCallbacks = this.pendingCallbacks;
+    this.pendingCallbacks = [];
+    for (const callback of pendingCallbacks) callback();
+    // Playing subscriptions need no timer: their sockets keep the program running and report their events.
+    const waiting = [...this.subscriptions.values()].some((subscription) => subscription.playingAttempt === 0);
+    if (waiting || this.actions.length > 0 || this.pendingCallbacks.length > 0) this.armTimer();
   }
 }
--- a/client/typescript/tests/core.test.ts
+++ b/client/typescript/tests/core.test.ts
@@ -1,10 +1,12 @@
-// The core in TypeScript does what the core in C++ does, act for act, over random sequences of events.
+// Replays random event sequences, recorded from the C++ core by tests/core_traces.cpp, and checks that the TypeScript
+// core returns exactly the same actions.
 import assert from "node:assert/strict";
 import { execFileSync } from "node:child_process";
 import { test } from "node:test";
 import { Core, defaultRetryPolicy } from "../../core/core.js";
 import type { Action, Answer } from "../../core/core.js";
 
+// One recorded event, with the actions that the C++ core returned and its next due time.
 interface Event {
   now: number;
   event: string;
@@ -15,44 +17,45 @@
   attempt: number;
   unread: boolean;
   director: string;
-  sending?: object;
+  sendParameters?: object;
   answer: Answer;
   retryAfter: number;
-  drains: boolean;
-  acts: Action[];
+  directorDrains: boolean;
+  actions: Action[];
   due: number;
 }
 
 const traces = process.env["LUPINSILL_TRACES"];
 
-test("random sequences give the same acts in both languages", { skip: traces === undefined }, () => {
+test("random event sequences give the same actions in both languages", { skip: traces === undefined }, () => {
   const text = execFileSync(traces!, ["200", "1"], { encoding: "utf8", maxBuffer: 1 << 30 });
-  let acts = 0;
+  let actionCount = 0;
   for (const line of text.split("\n").filter((l) => l !== "")) {
     const trace = JSON.parse(line) as { seed: number; events: Event[] };
-    const places = [
-      { address: "a:1", building: "north" },
-      { address: "b:1", building: "north" },
-      { address: "c:1", building: "south" },
+    const endpoints = [
+      { address: "a:1", zone: "north" },
+      { address: "b:1", zone: "north" },
+      { address: "c:1", zone: "south" },
     ];
-    const core = new Core(places, { ...defaultRetryPolicy, building: "north" }, trace.seed);
+    const core = new Core(endpoints, { ...defaultRetryPolicy, zone: "north" }, trace.seed);
     trace.events.forEach((e, step) => {
-      const out: Action[] = [];
+      const actions: Action[] = [];
       if (e.event === "submit")
-        core.submit(e.now, { id: e.id, key: e.key, unsafe: e.unsafe, timeout: e.timeout }, out);
+        core.submit(e.now, { id: e.id, key: e.key, unsafe: e.unsafe, timeout: e.timeout }, actions);
       else if (e.event === "beginSend") {
-        const sending = core.beginSend(e.now, e.attempt, e.director);
-        // JSON has no undefined: what is left out there is undefined here.
-        assert.deepEqual(sending && JSON.parse(JSON.stringify(sending)), e.sending, `seed ${trace.seed}, step ${step}`);
-      }
-      else if (e.event === "failed") core.failed(e.now, e.attempt, out, e.unread);
-      else if (e.event === "answered") core.answered(e.now, e.attempt, e.answer, e.retryAfter, e.drains, out);
-      else if (e.event === "cancel") core.cancel(e.now, e.id, out);
-      else core.tick(e.now, out);
-      assert.deepEqual(out, e.acts, `seed ${trace.seed}, step ${step}`);
+        const parameters = core.beginSend(e.now, e.attempt, e.director);
+        // The trace omits undefined values, since JSON cannot express them; the round trip removes them here too.
+        const defined = parameters && JSON.parse(JSON.stringify(parameters));
+        assert.deepEqual(defined, e.sendParameters, `seed ${trace.seed}, step ${step}`);
+      } else if (e.event === "failed") core.failed(e.now, e.attempt, actions, e.unread);
+      else if (e.event === "answered")
+        core.answered(e.now, e.attempt, e.answer, e.retryAfter, e.directorDrains, actions);
+      else if (e.event === "cancel") core.cancel(e.now, e.id, actions);
+      else core.tick(e.now, actions);
+      assert.deepEqual(actions, e.actions, `seed ${trace.seed}, step ${step}`);
       assert.equal(core.due(), e.due, `seed ${trace.seed}, step ${step}`);
-      acts += out.length;
+      actionCount += actions.length;
     });
   }
-  assert.ok(acts > 4_000);
+  assert.ok(actionCount > 4_000);
 });
--- a/client/typescript/tests/grpc.test.ts
+++ b/client/typescript/tests/grpc.test.ts
@@ -1,4 +1,4 @@
-// A gRPC client from the registry, unchanged, against a real director and a node written here.
+// An unmodified gRPC client (@grpc/grpc-js) against a real director process with a simulated media node.
 import assert from "node:assert/strict";
 import { spawn } from "node:child_process";
 import type { ChildProcess } from "node:child_process";
@@ -15,10 +15,12 @@
 const root = process.env["LUPINSILL_ROOT"] ?? "";
 const skip = { skip: program === undefined };
 
+// The loaded proto definitions have no static types.
 // eslint-disable-next-line
-type Loose = any;
+type Untyped = any;
 
-class Running {
+// A director process, its configuration folder and a media node that accepts every join.
+class RunningDirector {
   readonly folder = mkdtempSync(join(tmpdir(), "lupinsill-ts-"));
   readonly node = createServer((socket) => {
     let text = "";
@@ -29,7 +31,11 @@
         const head = text.slice(0, end);
         text = text.slice(end + 4);
         const cseq = /CSeq: *(\d+)/i.exec(head)?.[1] ?? "0";
-        if (!head.startsWith("RTSP/")) socket.write(`RTSP/2.0 200 OK\r\nCSeq: ${cseq}\r\nSession: s\r\nEndpoint-Load-Metrics: TEXT application_utilization=0.05\r\n\r\n`);
+        if (!head.startsWith("RTSP/"))
+          socket.write(
+            `RTSP/2.0 200 OK\r\nCSeq: ${cseq}\r\nSession: s\r\n` +
+              "Endpoint-Load-Metrics: TEXT application_utilization=0.05\r\n\r\n",
+          );
       }
     });
   });
@@ -52,22 +58,23 @@
       stdio: "ignore",
     });
     for (let i = 0; i < 400 && !existsSync(ports); ++i) await new Promise((done) => setTimeout(done, 25));
-    const words = readFileSync(ports, "utf8").split(/\s+/);
-    this.adminPort = Number(words[words.indexOf("admin") + 1]);
-    this.grpcPort = Number(words[words.indexOf("grpc") + 1]);
+    const fields = readFileSync(ports, "utf8").split(/\s+/);
+    this.adminPort = Number(fields[fields.indexOf("admin") + 1]);
+    this.grpcPort = Number(fields[fields.indexOf("grpc") + 1]);
     return this;
   }
+  // Requests a page from the admin port.
   async page(path: string, method = "GET"): Promise<string> {
     return (await fetch(`http://127.0.0.1:${this.adminPort}${path}`, { method })).text();
   }
-  sessions(options: object = {}): Loose {
+  sessions(options: object = {}): Untyped {
     const loaded = loadSync(join(root, "proto/lupinsill/session/v1/session.proto"), { keepCase: true });
-    const service = (grpc.loadPackageDefinition(loaded) as Loose).lupinsill.session.v1.Sessions;
+    const service = (grpc.loadPackageDefinition(loaded) as Untyped).lupinsill.session.v1.Sessions;
     return new service(`127.0.0.1:${this.grpcPort}`, grpc.credentials.createInsecure(), options);
   }
-  health(): Loose {
+  health(): Untyped {
     const loaded = loadSync(join(root, "proto/grpc/health/v1/health.proto"), { enums: String });
-    const service = (grpc.loadPackageDefinition(loaded) as Loose).grpc.health.v1.Health;
+    const service = (grpc.loadPackageDefinition(loaded) as Untyped).grpc.health.v1.Health;
     return new service(`127.0.0.1:${this.grpcPort}`, grpc.credentials.createInsecure());
   }
   end(): void {
@@ -77,36 +84,43 @@
   }
 }
 
-interface Seen {
-  messages: Loose[];
+// What a call received until its end.
+interface CallOutcome {
+  messages: Untyped[];
   status: grpc.StatusObject;
 }
 const ask = { key: "front-1:k", viewer: "v", title: "t", room: "recipe-clip" };
 
-function play(client: Loose, words: object[], options: object = {}, onMessage?: (call: Loose) => void): Promise<Seen> {
+// Writes the requests on a new Play call and waits until it ends.
+function play(
+  client: Untyped,
+  requests: object[],
+  options: object = {},
+  onMessage?: (call: Untyped) => void,
+): Promise<CallOutcome> {
   return new Promise((resolve) => {
     const call = client.Play(options);
-    const messages: Loose[] = [];
-    call.on("data", (message: Loose) => {
+    const messages: Untyped[] = [];
+    call.on("data", (message: Untyped) => {
       messages.push(message);
       onMessage?.(call);
     });
     call.on("error", () => undefined);
     call.on("status", (status: grpc.StatusObject) => resolve({ messages, status }));
-    for (const word of words) call.write(word);
+    for (const request of requests) call.write(request);
   });
 }
 
-test("who, health, a subscription that plays and is left, and words out of place", skip, async () => {
-  const running = await new Running().start(true);
-  const client = running.sessions();
-  const who = await new Promise<Loose>((done) => client.Who({}, (_: unknown, reply: Loose) => done(reply)));
+test("Who, a subscription that plays and is left, and invalid requests", skip, async () => {
+  const director = await new RunningDirector().start(true);
+  const client = director.sessions();
+  const who = await new Promise<Untyped>((done) => client.Who({}, (_: unknown, reply: Untyped) => done(reply)));
   assert.equal(who.director, "front-1");
 
-  const seen = await play(client, [{ ask }], {}, (call) => call.write({ leave: {} }));
-  assert.equal(seen.status.code, grpc.status.OK);
-  assert.equal(seen.messages.length, 1);
-  assert.ok(seen.messages[0].playing.ticket.length > 20);
+  const outcome = await play(client, [{ ask }], {}, (call) => call.write({ leave: {} }));
+  assert.equal(outcome.status.code, grpc.status.OK);
+  assert.equal(outcome.messages.length, 1);
+  assert.ok(outcome.messages[0].playing.ticket.length > 20);
 
   const bad = await play(client, [{ ask: { ...ask, room: "attic" } }]);
   assert.equal(bad.status.code, grpc.status.INVALID_ARGUMENT);
@@ -116,40 +130,40 @@
   const foreign = await play(client, [{ ask: { ...ask, key: "front-2:k", room: "paid-class" } }]);
   assert.equal(foreign.status.code, grpc.status.FAILED_PRECONDITION);
   assert.equal(foreign.status.metadata.get("lupinsill-reason")[0], "elsewhere");
-  const none = await new Promise<Loose>((done) =>
-    client.makeUnaryRequest("/no/Such", (x: Loose) => x, (x: Loose) => x, Buffer.alloc(0), (e: Loose) => done(e)),
+  const none = await new Promise<Untyped>((done) =>
+    client.makeUnaryRequest("/no/Such", (x: Untyped) => x, (x: Untyped) => x, Buffer.alloc(0), (e: Untyped) => done(e)),
   );
   assert.equal(none.code, grpc.status.UNIMPLEMENTED);
   const large = await play(client, [{ ask: { ...ask, title: "x".repeat(9000) } }]);
   assert.equal(large.status.code, grpc.status.RESOURCE_EXHAUSTED);
 
   client.close();
-  running.end();
+  director.end();
 });
 
-test("a second ask ends its call", skip, async () => {
-  const running = await new Running().start(true);
-  const client = running.sessions();
+test("a second request ends its call", skip, async () => {
+  const director = await new RunningDirector().start(true);
+  const client = director.sessions();
   const twice = await play(client, [{ ask }, { ask }]);
   assert.equal(twice.status.code, grpc.status.INVALID_ARGUMENT);
   client.close();
-  running.end();
+  director.end();
 });
 
-test("past its deadline a call ends, though it plays", skip, async () => {
-  const running = await new Running().start(true);
-  const client = running.sessions();
+test("a call ends at its deadline, even while it plays", skip, async () => {
+  const director = await new RunningDirector().start(true);
+  const client = director.sessions();
   const late = await play(client, [{ ask }], { deadline: Date.now() + 600 });
   assert.equal(late.status.code, grpc.status.DEADLINE_EXCEEDED);
-  for (let i = 0; i < 40 && !(await running.page("/status")).includes('"subscriptions": 0'); ++i)
+  for (let i = 0; i < 40 && !(await director.page("/status")).includes('"subscriptions": 0'); ++i)
     await new Promise((done) => setTimeout(done, 50));
-  assert.match(await running.page("/status"), /"subscriptions": 0/);
+  assert.match(await director.page("/status"), /"subscriptions": 0/);
   client.close();
-  running.end();
+  director.end();
 });
 
-test("its own retries act on throttles alone, and wait as they are told", skip, async () => {
-  const running = await new Running().start(false); // no node: every ask is throttled
+test("the gRPC client's own retries follow throttles only, and wait for the requested time", skip, async () => {
+  const director = await new RunningDirector().start(false); // without a node every request is throttled
   const policy = {
     methodConfig: [
       {
@@ -164,53 +178,53 @@
       },
     ],
   };
-  const client = running.sessions({ "grpc.service_config": JSON.stringify(policy) });
+  const client = director.sessions({ "grpc.service_config": JSON.stringify(policy) });
   const paid = { ...ask, room: "paid-class" };
   const start = Date.now();
-  const seen = await play(client, [{ ask: paid }]);
-  assert.equal(seen.status.code, grpc.status.RESOURCE_EXHAUSTED);
-  assert.equal(seen.status.metadata.get("lupinsill-answer")[0], "throttled");
-  const pushback = Number(seen.status.metadata.get("lupinsill-retry-after-ms")[0]);
+  const outcome = await play(client, [{ ask: paid }]);
+  assert.equal(outcome.status.code, grpc.status.RESOURCE_EXHAUSTED);
+  assert.equal(outcome.status.metadata.get("lupinsill-answer")[0], "throttled");
+  const pushback = Number(outcome.status.metadata.get("lupinsill-retry-after-ms")[0]);
   assert.ok(pushback > 0);
-  assert.ok(Date.now() - start >= pushback); // at least once it waited so long
-  assert.match(await running.page("/metrics"), /lupinsill_asks_total 3\n/);
-  // A status that its policy would retry, and our pushback forbids.
+  assert.ok(Date.now() - start >= pushback); // it waited for the requested time at least once
+  assert.match(await director.page("/metrics"), /lupinsill_asks_total 3\n/);
+  // The policy would retry this status, but the director's pushback trailer forbids it.
   const foreign = await play(client, [{ ask: { ...paid, key: "front-2:k" } }]);
   assert.equal(foreign.status.code, grpc.status.FAILED_PRECONDITION);
-  assert.match(await running.page("/metrics"), /lupinsill_asks_total 4\n/);
+  assert.match(await director.page("/metrics"), /lupinsill_asks_total 4\n/);
   client.close();
-  running.end();
+  director.end();
 });
 
-test("a drain is seen in health, ends no call, and the process ends when nothing plays", skip, async () => {
-  const running = await new Running().start(true);
-  const health = running.health();
+test("a drain shows in the health service and ends no call; the process exits once nothing plays", skip, async () => {
+  const director = await new RunningDirector().start(true);
+  const health = director.health();
   const states: string[] = [];
   const watch = health.Watch({ service: "" });
-  watch.on("data", (message: Loose) => states.push(message.status));
+  watch.on("data", (message: Untyped) => states.push(message.status));
   watch.on("error", () => undefined);
-  const checked = (service: string): Promise<Loose> =>
-    new Promise((done) => health.Check({ service }, (error: Loose, reply: Loose) => done(error ?? reply)));
+  const checked = (service: string): Promise<Untyped> =>
+    new Promise((done) => health.Check({ service }, (error: Untyped, reply: Untyped) => done(error ?? reply)));
   assert.equal((await checked("lupinsill.session.v1.Sessions")).status, "SERVING");
   assert.equal((await checked("other")).code, grpc.status.NOT_FOUND);
 
-  const client = running.sessions();
-  let call: Loose;
-  const over = play(client, [{ ask }], {}, (c) => (call = c));
+  const client = director.sessions();
+  let call: Untyped;
+  const ended = play(client, [{ ask }], {}, (c) => (call = c));
   while (call === undefined) await new Promise((done) => setTimeout(done, 20));
-  const exited = new Promise((done) => running.process.on("exit", done));
-  await running.page("/drain", "POST");
+  const exited = new Promise((done) => director.process.on("exit", done));
+  await director.page("/drain", "POST");
   await new Promise((done) => setTimeout(done, 1500));
   assert.deepEqual(states, ["SERVING", "NOT_SERVING"]);
-  assert.match(await running.page("/status"), /"subscriptions": 1/);
-  // A new call finds its way to an answer: this director refuses, with a time to come back.
-  const late = await play(running.sessions(), [{ ask }]);
+  assert.match(await director.page("/status"), /"subscriptions": 1/);
+  // A new call still gets an answer: the draining director refuses it.
+  const late = await play(director.sessions(), [{ ask }]);
   assert.equal(late.status.code, grpc.status.UNAVAILABLE);
   assert.equal(late.status.metadata.get("lupinsill-reason")[0], "draining");
   call.write({ leave: {} });
-  assert.equal((await over).status.code, grpc.status.OK);
+  assert.equal((await ended).status.code, grpc.status.OK);
   assert.equal(await exited, 0);
   health.close();
   client.close();
-  running.end();
+  director.end();
 });
--- a/client/typescript/tests/session_client.test.ts
+++ b/client/typescript/tests/session_client.test.ts
@@ -1,26 +1,29 @@
-// The library against directors written here on the package `ws`: what it sends, and what it makes of answers.
+// SessionClient against simulated directors over the package `ws`: which messages it sends, and how it reports
+// answers.
 import assert from "node:assert/strict";
 import type { AddressInfo } from "node:net";
 import { test } from "node:test";
 import { WebSocket, WebSocketServer } from "ws";
 import { SessionClient } from "../src/index.js";
-import type { Heard, SocketLike, Want } from "../src/index.js";
+import type { SocketLike, SubscriptionRequest, SubscriptionResult } from "../src/index.js";
 
-type Asked = { id: string; key: string; again?: string; timeoutMs: number; title: string };
+// The fields of a received request that the tests check.
+type ReceivedRequest = { id: string; key: string; again?: string; timeoutMs: number; title: string };
 
+// A simulated director; `answer` is called for each request, `nth` counting from 1.
 class Director {
   readonly server: WebSocketServer;
-  readonly asks: Asked[] = [];
+  readonly requests: ReceivedRequest[] = [];
   readonly leaves: string[] = [];
-  constructor(name: string, answer: (ask: Asked, socket: WebSocket, nth: number) => void) {
+  constructor(name: string, answer: (request: ReceivedRequest, socket: WebSocket, nth: number) => void) {
     this.server = new WebSocketServer({ port: 0, host: "127.0.0.1" });
     this.server.on("connection", (socket) => {
       socket.send(JSON.stringify({ type: "hello", director: name }));
       socket.on("message", (data) => {
-        const message = JSON.parse(String(data)) as Asked & { type: string };
+        const message = JSON.parse(String(data)) as ReceivedRequest & { type: string };
         if (message.type === "leave") return void this.leaves.push(message.id);
-        this.asks.push(message);
-        answer(message, socket, this.asks.length);
+        this.requests.push(message);
+        answer(message, socket, this.requests.length);
       });
     });
   }
@@ -36,42 +39,46 @@
   }
 }
 
-const say = (socket: WebSocket, message: object): void => socket.send(JSON.stringify(message));
-const plays = (ask: Asked, socket: WebSocket): void =>
-  say(socket, { type: "playing", id: ask.id, subscription: "s", node: "n:1", rung: 2, ticket: "t" });
+const send = (socket: WebSocket, message: object): void => socket.send(JSON.stringify(message));
+const playing = (request: ReceivedRequest, socket: WebSocket): void =>
+  send(socket, { type: "playing", id: request.id, subscription: "s", node: "n:1", rung: 2, ticket: "t" });
 
 function clientOf(directors: Director[]): SessionClient {
   return new SessionClient(
-    directors.map((d) => ({ address: d.address, building: "here" })),
+    directors.map((d) => ({ address: d.address, zone: "here" })),
     {
       seed: 3,
-      manners: { building: "here" },
+      retryPolicy: { zone: "here" },
       makeSocket: (url, protocol) => new WebSocket(url, protocol) as unknown as SocketLike,
     },
   );
 }
 
-function result(client: SessionClient, want: Partial<Want>): Promise<{ id: number; heard: Heard }> {
+// Requests a subscription and waits for its result.
+function result(
+  client: SessionClient,
+  request: Partial<SubscriptionRequest>,
+): Promise<{ id: number; outcome: SubscriptionResult }> {
   return new Promise((resolve) => {
-    const id = client.ask(
-      { viewer: "v", title: "t", room: "r", timeout: 5_000_000, ...want },
-      { onResult: (_, heard) => resolve({ id, heard }) },
+    const id = client.subscribe(
+      { viewer: "v", title: "t", room: "r", timeout: 5_000_000, ...request },
+      { onResult: (_, outcome) => resolve({ id, outcome }) },
     );
   });
 }
 
-test("a paid ask whose reply is lost goes to the same director, with the same key, and says so", async () => {
-  const answer = (ask: Asked, socket: WebSocket, nth: number): void => {
+test("an unsafe request whose answer is lost is retried at the same director with the same key", async () => {
+  const answer = (request: ReceivedRequest, socket: WebSocket, nth: number): void => {
     if (nth === 1) socket.terminate();
-    else plays(ask, socket);
+    else playing(request, socket);
   };
   const directors = [await new Director("a", answer).ready(), await new Director("b", answer).ready()];
   const client = clientOf(directors);
-  const { heard } = await result(client, { unsafe: true });
-  assert.equal(heard.result, "playing");
-  const asked = directors.filter((d) => d.asks.length > 0);
-  assert.equal(asked.length, 1);
-  const [first, second] = asked[0]!.asks;
+  const { outcome } = await result(client, { unsafe: true });
+  assert.equal(outcome.result, "playing");
+  const used = directors.filter((d) => d.requests.length > 0);
+  assert.equal(used.length, 1);
+  const [first, second] = used[0]!.requests;
   assert.equal(first!.key, second!.key);
   assert.equal(first!.again, undefined);
   assert.equal(second!.again, first!.key.split(":")[0]);
@@ -79,52 +86,52 @@
   for (const d of directors) d.close();
 });
 
-test("a throttled ask goes elsewhere under a key of its own, after the time it was told", async () => {
-  let at = 0;
+test("a throttled request is retried at another director with a new key, after the requested delay", async () => {
+  let throttledAt = 0;
   const directors = await Promise.all(["a", "b"].map(
     (name) =>
-      new Director(name, (ask, socket) => {
-        if (at === 0) {
-          at = Date.now();
-          say(socket, { type: "throttled", id: ask.id, reason: "draining", retryAfterMs: 200 });
-        } else plays(ask, socket);
+      new Director(name, (request, socket) => {
+        if (throttledAt === 0) {
+          throttledAt = Date.now();
+          send(socket, { type: "throttled", id: request.id, reason: "draining", retryAfterMs: 200 });
+        } else playing(request, socket);
       }).ready(),
   ));
-  const { heard } = await result(clientOf(directors), { unsafe: true });
-  assert.equal(heard.result, "playing");
-  assert.ok(Date.now() - at >= 200);
-  const keys = directors.flatMap((d) => d.asks.map((ask) => ask.key));
+  const { outcome } = await result(clientOf(directors), { unsafe: true });
+  assert.equal(outcome.result, "playing");
+  assert.ok(Date.now() - throttledAt >= 200);
+  const keys = directors.flatMap((d) => d.requests.map((request) => request.key));
   assert.equal(new Set(keys).size, 2);
-  for (const d of directors) assert.equal(d.asks[0]?.again, undefined);
+  for (const d of directors) assert.equal(d.requests[0]?.again, undefined);
   for (const d of directors) d.close();
 });
 
-test("terminated ends a paid wish; what plays ends once; leaving says so", async () => {
-  const no = await new Director("a", (ask, socket) =>
-    say(socket, { type: "terminated", id: ask.id, reason: "may-have-run" }),
+test("terminated ends an unsafe request; leave() is sent; a lost director ends a subscription once", async () => {
+  const refusing = await new Director("a", (request, socket) =>
+    send(socket, { type: "terminated", id: request.id, reason: "may-have-run" }),
   ).ready();
-  const { heard } = await result(clientOf([no]), { unsafe: true });
-  assert.equal(heard.result, "terminated");
-  assert.equal(heard.reason, "may-have-run");
-  assert.equal(no.asks.length, 1);
-  no.close();
+  const { outcome } = await result(clientOf([refusing]), { unsafe: true });
+  assert.equal(outcome.result, "terminated");
+  assert.equal(outcome.reason, "may-have-run");
+  assert.equal(refusing.requests.length, 1);
+  refusing.close();
 
-  const yes = await new Director("a", plays).ready();
-  const client = clientOf([yes]);
+  const accepting = await new Director("a", playing).ready();
+  const client = clientOf([accepting]);
   const { id } = await result(client, {});
   client.leave(id);
   await new Promise((done) => setTimeout(done, 200));
-  assert.deepEqual(yes.leaves, ["a"]);
-  yes.close();
+  assert.deepEqual(accepting.leaves, ["a"]);
+  accepting.close();
 
-  const gone = await new Director("a", plays).ready();
+  const vanishing = await new Director("a", playing).ready();
   const ends: string[] = [];
   await new Promise<void>((done) => {
-    const other = clientOf([gone]);
-    other.ask(
+    const other = clientOf([vanishing]);
+    other.subscribe(
       { viewer: "v", title: "t", room: "r" },
       {
-        onResult: () => gone.close(),
+        onResult: () => vanishing.close(),
         onEnd: (_, reason) => {
           ends.push(reason);
           done();
@@ -135,26 +142,26 @@
   assert.deepEqual(ends, ["director-lost"]);
 });
 
-test("garbage from a director is no answer, and nobody there is told well before the timeout", async () => {
-  const odd = await new Director("a", (ask, socket) => {
+test("malformed messages are ignored; an unreachable director is reported well before the timeout", async () => {
+  const director = await new Director("a", (request, socket) => {
     socket.send("{");
     socket.send(JSON.stringify({ type: "dance" }));
-    plays(ask, socket);
+    playing(request, socket);
   }).ready();
-  assert.equal((await result(clientOf([odd]), {})).heard.result, "playing");
-  odd.close();
+  assert.equal((await result(clientOf([director]), {})).outcome.result, "playing");
+  director.close();
   const start = Date.now();
-  assert.equal((await result(clientOf([odd]), { timeout: 20_000_000 })).heard.result, "unreachable");
+  assert.equal((await result(clientOf([director]), { timeout: 20_000_000 })).outcome.result, "unreachable");
   assert.ok(Date.now() - start < 15_000);
 });
 
-test("an ask that names what is not there is not asked again", async () => {
-  const director = await new Director("a", (ask, socket) =>
-    say(socket, { type: "error", id: ask.id, reason: "room: unknown room type" }),
+test("a request that names an unknown room type is not retried", async () => {
+  const director = await new Director("a", (request, socket) =>
+    send(socket, { type: "error", id: request.id, reason: "room: unknown room type" }),
   ).ready();
-  const { heard } = await result(clientOf([director]), {});
-  assert.equal(heard.result, "terminated");
-  assert.equal(heard.reason, "room: unknown room type");
-  assert.equal(director.asks.length, 1);
+  const { outcome } = await result(clientOf([director]), {});
+  assert.equal(outcome.result, "terminated");
+  assert.equal(outcome.reason, "room: unknown room type");
+  assert.equal(director.requests.length, 1);
   director.close();
 });
--- a/client/websocket/transport.cpp
+++ b/client/websocket/transport.cpp
@@ -10,23 +10,30 @@
 namespace lupinsill::client {
 namespace {
 
+constexpr std::size_t maxMessageBytes = 65536;
+constexpr Micros minHandshakeTimeout = 100'000;
+// Names the request on its socket; any text will do, since a socket carries one request only.
+constexpr const char* requestName = "a";
+
 class WebSocketLink;
 
-class WebSocket final : public Transport {
+// Opens a socket for each link and checks their time-outs.
+class WebSocketTransport final : public Transport {
  public:
-  WebSocket(event_base* base, net::Connect connect) : base_(base), connect_(std::move(connect)) {}
+  WebSocketTransport(event_base* base, net::Connect connect) : base_(base), connect_(std::move(connect)) {}
   std::unique_ptr<Link> open(const std::string& address, Micros timeLeft, LinkHandler& handler) override;
   void tick(Micros now) override;
-  std::set<WebSocketLink*> links;  // never walked into a decision
+  std::set<WebSocketLink*> links;  // in no defined order; nothing may depend on it
 
  private:
   event_base* base_;
   net::Connect connect_;
 };
 
+// One socket with one request.
 class WebSocketLink final : public Link, public websocket::Channel::Handler {
  public:
-  WebSocketLink(WebSocket& owner, LinkHandler& handler, net::BufferEvent bufferEvent,
+  WebSocketLink(WebSocketTransport& owner, LinkHandler& handler, net::BufferEvent bufferEvent,
                 const websocket::ChannelLimits& limits, const std::string& address)
       : owner_(owner), handler_(handler), channel_(std::move(bufferEvent), *this, limits, false, address) {
     owner_.links.insert(this);
@@ -34,47 +41,49 @@
   ~WebSocketLink() override { owner_.links.erase(this); }
 
   void sendPlay(const session_api::PlayMessage& message) override {
-    session_api::PlayMessage out = message;
-    out.id = "a";
-    channel_.sendText(websocket::textOf(out));
+    session_api::PlayMessage named = message;
+    named.id = requestName;
+    channel_.sendText(websocket::textOf(named));
   }
-  void leave() override { channel_.sendText(websocket::textOf(session_api::LeaveMessage{"a"})); }
+  void leave() override { channel_.sendText(websocket::textOf(session_api::LeaveMessage{requestName})); }
   bool flushed() const override { return channel_.dead() || channel_.unsent() == 0; }
   void tick(Micros now) { channel_.tick(now); }
 
  private:
-  void onOpen(websocket::Channel&) override {}  // the director speaks first
+  void onOpen(websocket::Channel&) override {}  // the director sends the first message
   void onText(websocket::Channel&, std::string_view text) override {
     session_api::AnswerMessage answer;
     try {
       answer = websocket::readAnswer(text);
     } catch (const websocket::BadMessage&) {
-      return;  // a newer director may say more than this library knows
+      return;  // a newer director may send messages that this library does not know
     }
     if (answer.kind == session_api::AnswerKind::hello) return handler_.onHello(answer.director);
     handler_.onAnswer(answer);
   }
-  // WebSocket has no proof that a message was not read.
+  // WebSocket cannot prove that a message was not read.
   void onClosed(websocket::Channel&, int) override { handler_.onLost(false); }
 
-  WebSocket& owner_;
+  WebSocketTransport& owner_;
   LinkHandler& handler_;
   websocket::Channel channel_;
 };
 
-std::unique_ptr<Link> WebSocket::open(const std::string& address, Micros timeLeft, LinkHandler& handler) {
+std::unique_ptr<Link> WebSocketTransport::open(const std::string& address, Micros timeLeft,
+                                               LinkHandler& handler) {
   const std::size_t colon = address.rfind(':');
   if (colon == std::string::npos) return nullptr;
   net::BufferEvent bufferEvent =
       connect_(base_, address.substr(0, colon), std::atoi(address.c_str() + colon + 1));
   if (!bufferEvent) return nullptr;
   websocket::ChannelLimits limits;
-  limits.messageBytes = 65536;
-  limits.handshake = std::max<Micros>(100'000, std::min<Micros>(limits.handshake, timeLeft));
+  limits.messageBytes = maxMessageBytes;
+  limits.handshake = std::max(Micros{minHandshakeTimeout}, std::min<Micros>(limits.handshake, timeLeft));
   return std::make_unique<WebSocketLink>(*this, handler, std::move(bufferEvent), limits, address);
 }
 
-void WebSocket::tick(Micros now) {
+void WebSocketTransport::tick(Micros now) {
+  // A copy, because a link may be destroyed while another one is handled.
   const std::set<WebSocketLink*> all = links;
   for (WebSocketLink* link : all)
     if (links.contains(link)) link->tick(now);
@@ -83,7 +92,7 @@
 }  // namespace
 
 std::unique_ptr<Transport> makeWebSocket(event_base* base, net::Connect connect) {
-  return std::make_unique<WebSocket>(base, std::move(connect));
+  return std::make_unique<WebSocketTransport>(base, std::move(connect));
 }
 
 }  // namespace lupinsill::client
--- a/client/websocket/transport.h
+++ b/client/websocket/transport.h
@@ -1,4 +1,4 @@
-// Links over WebSocket: a socket each (docs/protocol/session-websocket.md).
+// The WebSocket transport: one socket for each link (docs/protocol/session-websocket.md).
 #pragma once
 
 #include <memory>
@@ -9,6 +9,7 @@
 
 namespace lupinsill::client {
 
+// `connect` opens the TCP or TLS connections.
 std::unique_ptr<Transport> makeWebSocket(event_base* base, net::Connect connect = net::connectTo);
 
 }  // namespace lupinsill::client
--- a/examples/clients/watch.cpp
+++ b/examples/clients/watch.cpp
@@ -1,8 +1,7 @@
-// Asks for a title and watches what becomes of it, over either protocol:
+// Requests a subscription to a title over either protocol and prints its result and its end:
 //   watch websocket 127.0.0.1:7400 recipe-clip flatbread
 //   watch grpc 127.0.0.1:7402 paid-class flatbread
-// Ends when the subscription has ended or was refused. The library decides on every retry; there is none
-// here.
+// Exits when the subscription has ended or the request has failed. Retries are made by the library.
 #include <event2/event.h>
 
 #include <cstdio>
@@ -25,22 +24,23 @@
   client::SessionClient sessions(base.get(), std::move(transport), {{argv[2], "here"}}, client::RetryPolicy{},
                                  1);
 
-  client::SubscriptionRequest want;
-  want.viewer = "example";
-  want.room = argv[3];
-  want.title = argv[4];
-  want.unsafe = want.room == "paid-class";  // must not be set up twice
+  client::SubscriptionRequest request;
+  request.viewer = "example";
+  request.room = argv[3];
+  request.title = argv[4];
+  request.unsafe = request.room == "paid-class";  // must not be set up twice
   int code = 0;
   sessions.subscribe(
-      want,
-      [&](client::RequestId, const client::SubscriptionResult& heard) {
-        std::printf("%s %s", client::nameOf(heard.result), heard.reason.c_str());
-        if (heard.result == client::Result::playing)
-          std::printf("at %s on rung %d, ticket %s", heard.node.c_str(), heard.rung, heard.ticket.c_str());
+      request,
+      [&](client::RequestId, const client::SubscriptionResult& outcome) {
+        std::printf("%s %s", client::nameOf(outcome.result), outcome.reason.c_str());
+        if (outcome.result == client::Result::playing)
+          std::printf("at %s on rung %d, ticket %s", outcome.node.c_str(), outcome.rung,
+                      outcome.ticket.c_str());
         else
           code = 1, event_base_loopbreak(base.get());
-        if (heard.retryAfter > 0)
-          std::printf(", come back after %lld ms", static_cast<long long>(heard.retryAfter / 1000));
+        if (outcome.retryAfter > 0)
+          std::printf(", come back after %lld ms", static_cast<long long>(outcome.retryAfter / 1000));
         std::printf("\n");
       },
       [&](client::RequestId, const std::string& reason, client::Micros) {
