--- a/src/admission/request_translator.cpp
+++ b/src/admission/request_translator.cpp
@@ -27,7 +27,7 @@
   if (unsafe && (colon == std::string::npos || colon + 1 == ask.key.size()))
     return why = "key: the director's name, a colon and more expected for this room type", std::nullopt;
   const bool foreign = unsafe && ask.key.compare(0, colon, names_.director) != 0;
-  const fleet::TitlePlacement at = fleet.where(ask.title);
+  const fleet::TitlePlacement at = fleet.placementOf(ask.title);
   session::PlayRequest out;
   out.callId = callId;
   out.idempotencyKey = ask.key;
--- a/src/fleet/list_poller.h
+++ b/src/fleet/list_poller.h
@@ -1,8 +1,10 @@
-// When a name server is asked for the list, and which answers are to a question of ours. The list itself is
-// membership's business, and so is its age. No I/O, no clock; times are whole microseconds on the caller's
-// clock. Guards against answers that get lost, come late, twice, under another number, cut short, with a
-// failure or with an older list, against a server that says nothing for a while, and against a fleet of
-// directors that all ask it in the same moments.
+// Schedules queries for the node list to a name server and matches answers to outstanding queries.
+//
+// It handles answers that are lost, late, duplicated, truncated, under an unknown query id, a failure or an
+// older list, and a server that is silent for a while. Polls are jittered so that many directors do not query
+// the server at the same moments. fleet/membership.h interprets the list and judges its version.
+//
+// No I/O and no clock: times are microseconds on the caller's clock.
 #pragma once
 
 #include <array>
@@ -15,23 +17,27 @@
 
 class ListPoller {
  public:
+  // `seed` differs between directors, so that their polls spread out. std::minstd_rand needs a seed between 1
+  // and 2147483646.
   explicit ListPoller(std::uint64_t seed)
-      : chance_(static_cast<std::minstd_rand::result_type>(seed % 2147483646 + 1)) {}
+      : random_(static_cast<std::minstd_rand::result_type>(seed % 2147483646 + 1)) {}
 
+  // When the next query is due.
   Micros due() const { return due_; }
-  // The number of the next ask; call it once the time is due.
+  // Returns the id of the next query; call it once the query is due.
   std::uint16_t nextQuery(Micros now);
-  // Another address: it is asked at once, and what the old one was asked is void.
+  // The server has a new address: makes a query due at once and discards the outstanding ones.
   void serverMoved(Micros now);
-  // Whether an answer under this number is one to an ask of ours; each number is good once.
-  bool expects(std::uint16_t number);
-  // A whole answer came, without a failure and no older than what is known.
+  // Returns whether `queryId` belongs to an outstanding query, which is outstanding no longer after that.
+  // Each id matches once.
+  bool expects(std::uint16_t queryId);
+  // Reports a complete, successful answer whose list is not older than the known one.
   void answered(Micros now);
 
  private:
-  std::minstd_rand chance_;
-  std::array<std::uint32_t, 8> out_{};  // numbers asked under, with a mark above; 0: none
-  std::size_t next_ = 0;
+  std::minstd_rand random_;
+  std::array<std::uint32_t, 8> outstanding_{};  // ring of query ids with `inUse` set; 0: free slot
+  std::size_t nextSlot_ = 0;                    // modulo the size of the ring
   Micros due_ = 0;
 };
 
--- a/src/fleet/liveness_check.cpp
+++ b/src/fleet/liveness_check.cpp
@@ -3,20 +3,26 @@
 namespace lupinsill::fleet {
 namespace {
 
-constexpr Micros quiet = 2'000'000;      // silence that makes it worth a try
-constexpr Micros between = 300'000;      // two tries
-constexpr int refusals = 2;              // in a row, with no connection left
-constexpr int silences = 4;              // in a row
-constexpr Micros longQuiet = 4'000'000;  // viewers have to be told within 8 s
+constexpr Micros silenceBeforeProbe = 2'000'000;
+constexpr Micros minProbeInterval = 300'000;
+
+// A node without a connection is dead after this many refused attempts in a row.
+constexpr int deadAfterRefusals = 2;
+
+// Any node is dead after this many failed attempts in a row, refused or unanswered, together with this long a
+// silence. Viewers must be told within 8 s.
+constexpr int deadAfterFailures = 4;
+constexpr Micros silenceBeforeDead = 4'000'000;
 
 }  // namespace
 
-LivenessCheck::Verdict LivenessCheck::look(Micros now, bool linked, bool trying) {
-  if (!linked && refused_ >= refusals) return Verdict::dead;
-  if (silent_ + refused_ >= silences && now - heard_ >= longQuiet) return Verdict::dead;
-  if (trying || now - triedAt_ < between) return Verdict::alive;
-  if (linked && now - heard_ < quiet) return Verdict::alive;
-  triedAt_ = now;
+LivenessCheck::Verdict LivenessCheck::look(Micros now, bool connected, bool connecting) {
+  if (!connected && refused_ >= deadAfterRefusals) return Verdict::dead;
+  if (unanswered_ + refused_ >= deadAfterFailures && now - lastActivity_ >= silenceBeforeDead)
+    return Verdict::dead;
+  if (connecting || now - lastProbe_ < minProbeInterval) return Verdict::alive;
+  if (connected && now - lastActivity_ < silenceBeforeProbe) return Verdict::alive;
+  lastProbe_ = now;
   return Verdict::probe;
 }
 
--- a/src/fleet/liveness_check.h
+++ b/src/fleet/liveness_check.h
@@ -1,7 +1,10 @@
-// Whether a media node on which subscriptions stand is still there. Guards against a machine that vanished
-// or was cut off: its connections stay open and silent for ever, and nobody would tell the viewers. A node
-// that hangs still takes connections, so only new ones that never come up speak against it.
-// No I/O, no clock; times are whole microseconds on the caller's clock.
+// Decides whether a media node that serves subscriptions is still alive.
+//
+// When a machine vanishes or is cut off from the network, its TCP connections stay open and silent, and its
+// viewers would never be told. The check probes a silent node by opening a new connection. A node whose
+// process hangs still accepts connections, so only failed connection attempts count against a node.
+//
+// No I/O and no clock: times are microseconds on the caller's clock.
 #pragma once
 
 #include "control.h"
@@ -10,25 +13,31 @@
 
 class LivenessCheck {
  public:
-  enum class Verdict { alive, probe, dead };
+  enum class Verdict {
+    alive,  // nothing to do
+    probe,  // open a new connection to the node
+    dead    // end the subscriptions at the node
+  };
 
-  explicit LivenessCheck(Micros now) : heard_(now) {}
-  // Bytes came in, or a connection came up.
+  explicit LivenessCheck(Micros now) : lastActivity_(now) {}
+  // The node sent data, or a connection to it was established.
   void heard(Micros now) {
-    heard_ = now;
-    refused_ = silent_ = 0;
+    lastActivity_ = now;
+    refused_ = unanswered_ = 0;
   }
-  // A connection did not come up. `refused`: the machine said so; nothing listens there any more.
-  void failed(bool refused) { ++(refused ? refused_ : silent_); }
-  // What is to be done now about a node on which something stands. `linked`: a connection to it is up;
-  // `trying`: one is on its way. probe: open one.
-  Verdict look(Micros now, bool linked, bool trying);
+  // A connection attempt failed. `refused`: the machine refused it, so no process listens there any more;
+  // otherwise the attempt was not answered.
+  void failed(bool refused) { ++(refused ? refused_ : unanswered_); }
+  // Returns what to do now about a node that serves subscriptions. `connected`: a connection to it is
+  // established; `connecting`: an attempt is under way.
+  Verdict look(Micros now, bool connected, bool connecting);
 
  private:
-  Micros heard_;
-  Micros triedAt_ = 0;
+  Micros lastActivity_;
+  Micros lastProbe_ = 0;
+  // Failed attempts since the last activity.
   int refused_ = 0;
-  int silent_ = 0;
+  int unanswered_ = 0;
 };
 
 }  // namespace lupinsill::fleet
--- a/src/fleet/membership.cpp
+++ b/src/fleet/membership.cpp
@@ -6,13 +6,14 @@
 
 namespace {
 
-// The protocol's longest time for which a list may stay out is 4.5 s; several times that is no late word.
-constexpr Micros olderMost = 30'000'000;
+// How long a source must deliver only older versions to count as restarted. Its protocol allows at most 4.5 s
+// without a list, so answers delayed by several times that are ruled out.
+constexpr Micros sourceRestartDelay = 30'000'000;
 
 }  // namespace
 
-const char* nameOf(UpdateResult taken) {
-  switch (taken) {
+const char* nameOf(UpdateResult result) {
+  switch (result) {
     case UpdateResult::applied:
       return "applied";
     case UpdateResult::same:
@@ -30,107 +31,110 @@
           endpoint.cell, endpoint.readyAt, endpoint.zone};
 }
 
-ListUpdate Membership::restore(const NodeList& word) {
-  ListUpdate told{ListKind::cachedSnapshot, {}};
+ListUpdate Membership::restore(const NodeList& list) {
+  ListUpdate update{ListKind::cachedSnapshot, {}};
   endpoints_.clear();
-  for (const NodeEndpoint& endpoint : word.endpoints) {
+  for (const NodeEndpoint& endpoint : list.endpoints) {
     endpoints_[endpoint.node] = endpoint;
-    told.entries.push_back(entryOf(endpoint));
+    update.entries.push_back(entryOf(endpoint));
   }
-  titles_ = word.titles;
-  otherTitlesEverywhere_ = word.otherTitlesEverywhere;
-  version_ = word.version;
-  fromBefore_ = true;
-  return told;
+  titles_ = list.titles;
+  otherTitlesEverywhere_ = list.otherTitlesEverywhere;
+  version_ = list.version;
+  onlyRestored_ = true;
+  return update;
 }
 
-// Guards against a source that lost its count: its words would be older for ever, and the fleet would change
-// unheard. Late words come in any order and among newer ones; such a source says nothing else for long.
-bool Membership::startedOver(Micros now, std::uint64_t version) {
+// A source that lost its version counter would be ignored for ever, and changes to the fleet with it. Delayed
+// lists arrive in any order and between newer ones, whereas a restarted source delivers only older versions,
+// in rising order, for a long time.
+bool Membership::sourceRestarted(Micros now, std::uint64_t version) {
   if (olderSince_ == 0 || version < olderVersion_) olderSince_ = now;
   olderVersion_ = version;
-  return now - olderSince_ >= olderMost;
+  return now - olderSince_ >= sourceRestartDelay;
 }
 
-UpdateResult Membership::apply(Micros now, const NodeList& word, ListUpdate& told) {
-  // The same number again after a restart may carry what the old copy missed; older words never do.
-  const bool over = word.version < version_;
-  if (over && !startedOver(now, word.version)) return UpdateResult::older;
+UpdateResult Membership::apply(Micros now, const NodeList& list, ListUpdate& update) {
+  // After a restart of this director the same version is applied again, since the saved copy may have missed
+  // part of it. An older version never is, unless the source restarted.
+  const bool restarted = list.version < version_;
+  if (restarted && !sourceRestarted(now, list.version)) return UpdateResult::older;
   olderSince_ = 0;
-  if (word.version == version_ && !fromBefore_) return UpdateResult::same;
+  if (list.version == version_ && !onlyRestored_) return UpdateResult::same;
 
   std::map<NodeId, NodeEndpoint> next;
-  for (const NodeEndpoint& endpoint : word.endpoints) {
-    NodeEndpoint& taken = next[endpoint.node] = endpoint;
-    const auto own = ownDrains_.find(endpoint.node);
-    // What was told to drain before a source started over goes on to, until the list shows a new start.
-    if (const auto held = endpoints_.find(endpoint.node);
-        over && held != endpoints_.end() && held->second.state == NodeState::draining &&
-        endpoint.state == NodeState::ready && endpoint.readyAt <= held->second.readyAt)
-      taken.state = NodeState::draining, ownDrains_[endpoint.node] = endpoint.readyAt;
-    if (own == ownDrains_.end()) continue;
-    if (endpoint.readyAt > own->second || endpoint.state == NodeState::gone)
-      ownDrains_.erase(own);
+  for (const NodeEndpoint& endpoint : list.endpoints) {
+    NodeEndpoint& listed = next[endpoint.node] = endpoint;
+    const auto drainOverride = drainOverrides_.find(endpoint.node);
+    // A restarted source may have lost its drains too: a draining node stays so until the list shows a
+    // restart of the node.
+    if (const auto previous = endpoints_.find(endpoint.node);
+        restarted && previous != endpoints_.end() && previous->second.state == NodeState::draining &&
+        endpoint.state == NodeState::ready && endpoint.readyAt <= previous->second.readyAt)
+      listed.state = NodeState::draining, drainOverrides_[endpoint.node] = endpoint.readyAt;
+    if (drainOverride == drainOverrides_.end()) continue;
+    if (endpoint.readyAt > drainOverride->second || endpoint.state == NodeState::gone)
+      drainOverrides_.erase(drainOverride);
     else if (endpoint.state == NodeState::ready)
-      taken.state = NodeState::draining;
+      listed.state = NodeState::draining;
   }
-  std::size_t ready = 0;
+  std::size_t readyCount = 0;
   std::set<NodeId> missing;
   for (const auto& [id, endpoint] : endpoints_) {
     if (endpoint.state != NodeState::ready) continue;
-    ++ready;
+    ++readyCount;
     if (!next.contains(id)) missing.insert(id);
   }
-  const bool doubtful =
-      !missing.empty() && static_cast<double>(missing.size()) > (1 - leastKept_) * static_cast<double>(ready);
-  // A word that goes on passing over the same nodes does not put the end of the doubt off.
-  if (doubtful && doubted_ != missing) doubtUntil_ = now + doubtFor_;
-  doubted_ = doubtful ? missing : std::set<NodeId>{};
-  for (const NodeId id : doubted_) next[id] = endpoints_[id];
-
-  told = {fromBefore_ ? ListKind::snapshot : ListKind::changes, {}};
+  const bool holdBack = !missing.empty() && static_cast<double>(missing.size()) >
+                                                (1 - minKeptShare_) * static_cast<double>(readyCount);
+  // A further list that omits the same nodes does not extend the hold-down.
+  if (holdBack && heldRemovals_ != missing) removalsHeldUntil_ = now + removalHoldDown_;
+  heldRemovals_ = holdBack ? missing : std::set<NodeId>{};
+  for (const NodeId id : heldRemovals_) next[id] = endpoints_[id];
+
+  update = {onlyRestored_ ? ListKind::snapshot : ListKind::changes, {}};
   for (const auto& [id, endpoint] : next) {
-    const auto before = endpoints_.find(id);
-    if (fromBefore_ || before == endpoints_.end() || before->second != endpoint)
-      told.entries.push_back(entryOf(endpoint));
+    const auto previous = endpoints_.find(id);
+    if (onlyRestored_ || previous == endpoints_.end() || previous->second != endpoint)
+      update.entries.push_back(entryOf(endpoint));
   }
-  if (!fromBefore_)
+  if (!onlyRestored_)
     for (const auto& [id, endpoint] : endpoints_)
       if (!next.contains(id) && endpoint.state != NodeState::gone) {
-        told.entries.push_back(entryOf(endpoint));
-        told.entries.back().state = NodeState::gone;
+        update.entries.push_back(entryOf(endpoint));
+        update.entries.back().state = NodeState::gone;
       }
   endpoints_ = std::move(next);
-  std::erase_if(ownDrains_, [&](const auto& drain) { return !endpoints_.contains(drain.first); });
-  titles_ = word.titles;
-  otherTitlesEverywhere_ = word.otherTitlesEverywhere;
-  version_ = word.version;
-  fromBefore_ = false;
-  if (doubtful) ++heldBack_;
-  return doubtful ? UpdateResult::tooMuchGone : UpdateResult::applied;
+  std::erase_if(drainOverrides_, [&](const auto& drain) { return !endpoints_.contains(drain.first); });
+  titles_ = list.titles;
+  otherTitlesEverywhere_ = list.otherTitlesEverywhere;
+  version_ = list.version;
+  onlyRestored_ = false;
+  if (holdBack) ++listsHeldBack_;
+  return holdBack ? UpdateResult::tooMuchGone : UpdateResult::applied;
 }
 
 ListUpdate Membership::confirmRemovals(Micros now) {
-  ListUpdate told{ListKind::changes, {}};
-  if (now < doubtUntil_) return told;
-  for (const NodeId id : doubted_) {
-    told.entries.push_back(entryOf(endpoints_[id]));
-    told.entries.back().state = NodeState::gone;
+  ListUpdate update{ListKind::changes, {}};
+  if (now < removalsHeldUntil_) return update;
+  for (const NodeId id : heldRemovals_) {
+    update.entries.push_back(entryOf(endpoints_[id]));
+    update.entries.back().state = NodeState::gone;
     endpoints_.erase(id);
-    ownDrains_.erase(id);
+    drainOverrides_.erase(id);
   }
-  doubted_.clear();
-  return told;
+  heldRemovals_.clear();
+  return update;
 }
 
 ListUpdate Membership::markDraining(NodeId node) {
-  ListUpdate told{ListKind::changes, {}};
+  ListUpdate update{ListKind::changes, {}};
   const auto it = endpoints_.find(node);
-  if (it == endpoints_.end() || it->second.state != NodeState::ready) return told;
-  ownDrains_[node] = it->second.readyAt;
+  if (it == endpoints_.end() || it->second.state != NodeState::ready) return update;
+  drainOverrides_[node] = it->second.readyAt;
   it->second.state = NodeState::draining;
-  told.entries.push_back(entryOf(it->second));
-  return told;
+  update.entries.push_back(entryOf(it->second));
+  return update;
 }
 
 const NodeEndpoint* Membership::find(NodeId node) const {
@@ -138,7 +142,7 @@
   return it == endpoints_.end() ? nullptr : &it->second;
 }
 
-TitlePlacement Membership::where(const std::string& title) const {
+TitlePlacement Membership::placementOf(const std::string& title) const {
   const auto it = titles_.find(title);
   if (it != titles_.end()) return it->second;
   return otherTitlesEverywhere_ ? TitlePlacement{0, std::max(1, cells_)} : TitlePlacement{};
--- a/src/fleet/membership.h
+++ b/src/fleet/membership.h
@@ -1,7 +1,12 @@
-// What the words about the fleet mean now: which media nodes there are, where they answer, what they hold,
-// and which change of that the decider has to be told. Decides on words as they come in, whoever brings them:
-// a watched file today. No I/O, no clock; times are whole microseconds on the caller's clock. Source:
-// operators' brief (the list knows only of processes that run, drain or are gone).
+// The membership of the fleet: which media nodes exist, at which addresses, in which state, and which cells
+// hold which titles. It applies lists of nodes from a source such as a watched file or a name server and
+// returns the changes that the decider has to be told.
+//
+// A list reports a node's process only as ready, draining or gone. Outdated lists are ignored, a source whose
+// versions start over is accepted after a while, and removals that look like a damaged list are held back
+// until they are confirmed.
+//
+// No I/O and no clock: times are microseconds on the caller's clock.
 #pragma once
 
 #include <cstdint>
@@ -14,76 +19,94 @@
 
 namespace lupinsill::fleet {
 
+// A media node as the list describes it.
 struct NodeEndpoint {
   NodeId node = 0;
   std::string host;
   int port = 0;
   NodeState state = NodeState::ready;
-  int kind = 0;
+  int kind = 0;  // index of the machine type
   int cell = 0;
   double weight = 1;
   std::string zone;
-  Micros readyAt = 0;  // 0: long ago
+  Micros readyAt = 0;  // when its process started; 0: long ago
   bool operator==(const NodeEndpoint&) const = default;
 };
 
+// The cells that hold a title: `holders` consecutive ones from `firstCell` on, the last being followed by
+// cell 0.
 struct TitlePlacement {
   int firstCell = 0;
   int holders = 0;
 };
 
-// One whole list, as its source worded it. Versions only grow at one source, until it starts over.
+// A complete list of nodes and titles from a source. Versions of a source only grow, until the source loses
+// its state and starts over.
 struct NodeList {
   std::uint64_t version = 0;
   std::vector<NodeEndpoint> endpoints;
   std::map<std::string, TitlePlacement> titles;
-  bool otherTitlesEverywhere = true;
+  bool otherTitlesEverywhere = true;  // titles not named in `titles` are in every cell; otherwise in none
 };
 
-enum class UpdateResult { applied, same, older, tooMuchGone };
-const char* nameOf(UpdateResult taken);
+// What became of a list.
+enum class UpdateResult {
+  applied,
+  same,        // ignored: this version is already applied
+  older,       // ignored: older than the applied version
+  tooMuchGone  // applied, but the removal of the missing nodes is held back
+};
+// Returns the name under which a result is logged.
+const char* nameOf(UpdateResult result);
 
 class Membership {
  public:
-  // `cells`: of the deployment. `leastKept`: where a word passes over more than the rest of the ready nodes
-  // in silence, they stay until it is confirmed, since a list that lost its entries looks just like that.
-  // What a word says aloud (draining, gone) always holds at once.
-  // `grace`: of rule 3, which runs from the word on, so half of it is the most that doubt may take.
-  Membership(int cells, double leastKept, Micros grace)
-      : cells_(cells), leastKept_(leastKept), doubtFor_(grace / 2) {}
+  // `cells`: number of cells of the deployment.
+  // `minKeptShare`: share of the ready nodes that a list has to name. One that names fewer may have lost
+  // entries, so the missing nodes stay until their removal is confirmed. States that a list names (draining,
+  // gone) always apply at once.
+  // `grace`: how long joins may still go to a node after it is reported draining or gone. It runs from the
+  // list's arrival, so removals are held back for at most half of it.
+  Membership(int cells, double minKeptShare, Micros grace)
+      : cells_(cells), minKeptShare_(minKeptShare), removalHoldDown_(grace / 2) {}
 
-  // The list of before a restart: taken without question, told as possibly old.
-  ListUpdate restore(const NodeList& word);
-  // `told` is what to tell the decider; it may be empty.
-  UpdateResult apply(Micros now, const NodeList& word, ListUpdate& told);
-  // Nodes that were passed over and that no later word has named since: gone, once the doubt is over. Call it
-  // often; it is empty otherwise.
+  // Loads the list saved before a restart, without checks, and returns it as a cached snapshot, which may be
+  // outdated. The first list from the source that is not older then replaces all of it.
+  ListUpdate restore(const NodeList& list);
+  // Applies a list from the source. Sets `update` to what the decider has to be told, possibly nothing;
+  // leaves it alone where the list is ignored.
+  UpdateResult apply(Micros now, const NodeList& list, ListUpdate& update);
+  // Removes the nodes held back since an earlier list, once their hold-down is over, and returns the changes.
+  // Call it often; it mostly returns nothing.
   ListUpdate confirmRemovals(Micros now);
-  // The node itself says that it drains. That holds whatever the list says, until the list shows a new start.
+  // The node itself reported that it drains. This overrides the list until the list shows a restart of the
+  // node.
   ListUpdate markDraining(NodeId node);
 
-  // The returned pointer holds until the next word.
+  // Returns the node, or null if it is unknown. The pointer is valid until the next non-const call.
   const NodeEndpoint* find(NodeId node) const;
-  TitlePlacement where(const std::string& title) const;
+  // Returns the cells that hold `title`.
+  TitlePlacement placementOf(const std::string& title) const;
   std::uint64_t version() const { return version_; }
   const std::map<NodeId, NodeEndpoint>& endpoints() const { return endpoints_; }
-  std::uint64_t heldBack() const { return heldBack_; }
+  // How many lists had removals held back.
+  std::uint64_t heldBack() const { return listsHeldBack_; }
 
  private:
   ListEntry entryOf(const NodeEndpoint& endpoint) const;
-  bool startedOver(Micros now, std::uint64_t version);
+  bool sourceRestarted(Micros now, std::uint64_t version);
 
   int cells_;
-  double leastKept_;
-  Micros doubtFor_;
-  Micros doubtUntil_ = 0;
-  Micros olderSince_ = 0;           // nothing but older words has come since, in rising order; 0: none
-  std::uint64_t olderVersion_ = 0;  // of the last of these
+  double minKeptShare_;
+  Micros removalHoldDown_;
+  Micros removalsHeldUntil_ = 0;
+  Micros olderSince_ = 0;           // only older versions, in rising order, have arrived since; 0: none
+  std::uint64_t olderVersion_ = 0;  // the last of those versions
   std::uint64_t version_ = 0;
-  bool fromBefore_ = true;              // nothing but the list of before a restart is known
-  std::set<NodeId> doubted_;            // passed over by the last word, and kept for now
-  std::map<NodeId, Micros> ownDrains_;  // said by the node itself, of the start at that time
-  std::uint64_t heldBack_ = 0;
+  bool onlyRestored_ = true;                 // no list from the source has been applied yet
+  std::set<NodeId> heldRemovals_;            // ready nodes missing from the last list, kept for now
+  std::map<NodeId, Micros> drainOverrides_;  // drains that override the list, by the `readyAt` of the process
+  std::uint64_t listsHeldBack_ = 0;
   std::map<NodeId, NodeEndpoint> endpoints_;
   std::map<std::string, TitlePlacement> titles_;
   bool otherTitlesEverywhere_ = true;
--- a/src/fleet/node_id_registry.h
+++ b/src/fleet/node_id_registry.h
@@ -1,7 +1,11 @@
-// Numbers for the names of media nodes. A name keeps its number for as long as the membership holds the node,
-// whatever a single word says of it: a word may be doubted, already known or older, and one that then lost
-// its number would come back as another node, with all that stands there left to nobody. A name whose node
-// has gone and that comes back is another node. No I/O, no clock.
+// Assigns numeric ids to the names of media nodes.
+//
+// A name keeps its id for as long as the membership holds the node, even if a single list does not name it:
+// that list may be held back, a duplicate or outdated. If the id were dropped then, the node would return
+// under a new id, and nobody would manage the subscriptions under the old one. A name that returns after its
+// node was removed gets a new id.
+//
+// No I/O and no clock.
 #pragma once
 
 #include <map>
@@ -14,23 +18,26 @@
 
 class NodeIdRegistry {
  public:
+  // Returns the id of `name` and assigns one if it has none.
   NodeId idOf(const std::string& name) {
-    const auto [at, fresh] = numbers_.try_emplace(name, last_ + 1);
-    if (fresh) ++last_;
-    return at->second;
+    const auto [it, inserted] = ids_.try_emplace(name, lastId_ + 1);
+    if (inserted) ++lastId_;
+    return it->second;
   }
+  // Returns the id of `name`, or nothing if it has none.
   std::optional<NodeId> find(const std::string& name) const {
-    const auto at = numbers_.find(name);
-    return at == numbers_.end() ? std::nullopt : std::optional(at->second);
+    const auto it = ids_.find(name);
+    return it == ids_.end() ? std::nullopt : std::optional(it->second);
   }
-  // Call it after every word, taken or not, with the nodes that are held now.
+  // Drops the ids of all nodes but `endpoints`. Call it with the membership's nodes after every list, applied
+  // or not.
   void retain(const std::map<NodeId, NodeEndpoint>& endpoints) {
-    std::erase_if(numbers_, [&](const auto& entry) { return !endpoints.contains(entry.second); });
+    std::erase_if(ids_, [&](const auto& entry) { return !endpoints.contains(entry.second); });
   }
 
  private:
-  std::map<std::string, NodeId> numbers_;
-  NodeId last_ = 0;
+  std::map<std::string, NodeId> ids_;
+  NodeId lastId_ = 0;
 };
 
 }  // namespace lupinsill::fleet
--- a/tests/heart_main.cpp
+++ b/tests/heart_main.cpp
@@ -1,2 +1,3 @@
+// Provides main() of the unit tests.
 #define CATCH_CONFIG_MAIN
 #include <catch2/catch.hpp>
--- a/tests/list_poller_test.cpp
+++ b/tests/list_poller_test.cpp
@@ -1,4 +1,5 @@
-// When the name server is asked and what is believed of it; when a silent node counts as gone.
+// When the name server is queried for the list and which answers are accepted; when a silent node is declared
+// dead.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <map>
@@ -14,96 +15,95 @@
 constexpr Micros ms = 1'000, second = 1'000'000;
 }
 
-TEST_CASE("A lost answer is asked for again soon, a good one later") {
+TEST_CASE("The next query follows soon after a lost answer and later after a good one") {
   ListPoller listPoller(1);
   Micros now = 10 * second;
   CHECK(listPoller.due() <= now);
-  const std::uint16_t first = listPoller.nextQuery(now);
+  const std::uint16_t firstQuery = listPoller.nextQuery(now);
   CHECK(listPoller.due() <= now + 200 * ms);
   now = listPoller.due();
   const std::uint16_t secondQuery = listPoller.nextQuery(now);
-  CHECK(first != secondQuery);
-  CHECK(listPoller.expects(first));  // late, and still one of ours
-  CHECK(!listPoller.expects(first));
+  CHECK(firstQuery != secondQuery);
+  CHECK(listPoller.expects(firstQuery));  // a late answer to an outstanding query
+  CHECK(!listPoller.expects(firstQuery));
   CHECK(!listPoller.expects(static_cast<std::uint16_t>(secondQuery + 1)));
   listPoller.answered(now);
   CHECK(listPoller.due() >= now + 200 * ms);
   CHECK(listPoller.due() <= now + second);
 }
 
-TEST_CASE("Where nothing new enough is heard the next ask does not wait, however often that goes on") {
+TEST_CASE("While answers bring only older lists, every next query follows soon") {
   ListPoller listPoller(1);
   Micros now = 10 * second;
   listPoller.nextQuery(now);
   listPoller.answered(now);
   for (int i = 0; i < 20; ++i) {
     now = listPoller.due();
-    CHECK(listPoller.expects(
-        listPoller.nextQuery(now)));  // what came was older, and is not told to the inquiry
+    // The list in the answer is older, so answered() is not called.
+    CHECK(listPoller.expects(listPoller.nextQuery(now)));
     CHECK(listPoller.due() <= now + 200 * ms);
   }
 }
 
-TEST_CASE("Directors that start together do not go on asking together") {
-  std::vector<ListPoller> fleet;
-  for (std::uint64_t seed = 1; seed <= 300; ++seed) fleet.emplace_back(seed * 7919);
-  std::map<Micros, int> asked;  // in each 10 ms of the second after the first ten
-  for (ListPoller& one : fleet)
-    for (Micros now = one.due(); now < 11 * second; now = one.due()) {
-      one.nextQuery(now);
-      one.answered(now);
-      if (now >= 10 * second) ++asked[now / (10 * ms)];
+TEST_CASE("The queries of directors that start together spread out") {
+  std::vector<ListPoller> pollers;
+  for (std::uint64_t seed = 1; seed <= 300; ++seed) pollers.emplace_back(seed * 7919);
+  std::map<Micros, int> queries;  // per 10 ms, in the second that follows the first ten
+  for (ListPoller& poller : pollers)
+    for (Micros now = poller.due(); now < 11 * second; now = poller.due()) {
+      poller.nextQuery(now);
+      poller.answered(now);
+      if (now >= 10 * second) ++queries[now / (10 * ms)];
     }
-  int most = 0, all = 0;
-  for (const auto& [at, count] : asked) most = std::max(most, count), all += count;
-  CHECK(all >= 300 * 2);
-  CHECK(most <= 3 * all / 100);
+  int peak = 0, total = 0;
+  for (const auto& [interval, count] : queries) peak = std::max(peak, count), total += count;
+  CHECK(total >= 300 * 2);
+  CHECK(peak <= 3 * total / 100);
 }
 
-TEST_CASE("Another address is asked at once, and answers to asks of the old one are void") {
+TEST_CASE("A server that moved is queried at once, and answers to queries of its old address are rejected") {
   ListPoller listPoller(1);
-  const std::uint16_t old = listPoller.nextQuery(10 * second);
+  const std::uint16_t oldQuery = listPoller.nextQuery(10 * second);
   listPoller.serverMoved(10 * second + ms);
   CHECK(listPoller.due() <= 10 * second + ms);
-  CHECK(!listPoller.expects(old));
+  CHECK(!listPoller.expects(oldQuery));
 }
 
-TEST_CASE(
-    "A node whose connections never come up any more is over, within the time viewers have to be told") {
-  LivenessCheck pulse(10 * second);
+TEST_CASE("A node that answers no more connection attempts is dead before viewers have to be told") {
+  LivenessCheck liveness(10 * second);
   Micros now = 10 * second;
-  Micros over = 0;
-  int tries = 0;
-  for (; now < 20 * second && over == 0; now += 25 * ms) {
-    const auto verdict = pulse.look(now, true, false);
-    if (verdict == LivenessCheck::Verdict::probe) ++tries, pulse.failed(false);
-    if (verdict == LivenessCheck::Verdict::dead) over = now;
+  Micros deadAt = 0;
+  int probes = 0;
+  for (; now < 20 * second && deadAt == 0; now += 25 * ms) {
+    const auto verdict = liveness.look(now, true, false);
+    if (verdict == LivenessCheck::Verdict::probe) ++probes, liveness.failed(false);
+    if (verdict == LivenessCheck::Verdict::dead) deadAt = now;
   }
-  CHECK(tries >= 3);
-  CHECK(over > 13 * second);
-  CHECK(over < 17 * second);
+  CHECK(probes >= 3);
+  CHECK(deadAt > 13 * second);
+  CHECK(deadAt < 17 * second);
 }
 
-TEST_CASE("A node that hangs but takes connections is not over") {
-  LivenessCheck pulse(10 * second);
+TEST_CASE("A node that hangs but accepts connections is not dead") {
+  LivenessCheck liveness(10 * second);
   for (Micros now = 10 * second; now < 60 * second; now += 25 * ms) {
-    const auto verdict = pulse.look(now, true, false);
+    const auto verdict = liveness.look(now, true, false);
     REQUIRE(verdict != LivenessCheck::Verdict::dead);
-    if (verdict == LivenessCheck::Verdict::probe) pulse.heard(now);
+    if (verdict == LivenessCheck::Verdict::probe) liveness.heard(now);
   }
 }
 
-TEST_CASE("A dead process is over once its machine has refused twice and no connection is left") {
-  LivenessCheck pulse(10 * second);
+TEST_CASE("A node is dead once its machine has refused two connections and none is left") {
+  LivenessCheck liveness(10 * second);
   Micros now = 10 * second + ms;
-  CHECK(pulse.look(now, false, false) == LivenessCheck::Verdict::probe);
-  pulse.failed(true);
-  CHECK(pulse.look(now, false, false) == LivenessCheck::Verdict::alive);
+  CHECK(liveness.look(now, false, false) == LivenessCheck::Verdict::probe);
+  liveness.failed(true);
+  CHECK(liveness.look(now, false, false) == LivenessCheck::Verdict::alive);
   now += second / 2;
-  CHECK(pulse.look(now, true, false) != LivenessCheck::Verdict::dead);
-  CHECK(pulse.look(now, false, false) == LivenessCheck::Verdict::probe);
-  CHECK(pulse.look(now, false, true) == LivenessCheck::Verdict::alive);
-  pulse.failed(true);
-  CHECK(pulse.look(now, true, false) == LivenessCheck::Verdict::alive);
-  CHECK(pulse.look(now, false, false) == LivenessCheck::Verdict::dead);
+  CHECK(liveness.look(now, true, false) != LivenessCheck::Verdict::dead);
+  CHECK(liveness.look(now, false, false) == LivenessCheck::Verdict::probe);
+  CHECK(liveness.look(now, false, true) == LivenessCheck::Verdict::alive);
+  liveness.failed(true);
+  CHECK(liveness.look(now, true, false) == LivenessCheck::Verdict::alive);
+  CHECK(liveness.look(now, false, false) == LivenessCheck::Verdict::dead);
 }
