--- a/src/admission/call_manager.h
+++ b/src/admission/call_manager.h
@@ -1,13 +1,17 @@
-// Who may speak to a director, and what a player's word means in the state that its call is in: for every
-// protocol alike. A peer is one connection; a call is one ask on it and what follows, and has a line that no
-// other call of the director ever had. No socket, no clock, no format: an edge says what came and asks
-// whether it may send; the desk keeps, for any order of words:
-//  1. of the answers to a call, one is sent and no second, whatever the front or a fault behind it says;
-//  2. the front hears of a call at most once that it was asked, and once that it went;
-//  3. a peer that asks and takes back without end, or heaps up calls, is ended, and not its neighbours;
-//  4. a drain ends no call: a peer is told to go elsewhere first, is waited for, and ended when it is idle.
-// Times are whole microseconds on the caller's clock. Nothing throws; a word about a line that has gone is
-// passed over. Source: RFC 9113 6.8 (GOAWAY in two steps), docs/design/clients.md.
+// Rules on peers and calls that the WebSocket and gRPC servers share.
+//
+// A peer is one connection of a player. A call is one request on it with all that follows; its id is never
+// reused within a director. A server reports what a player did and asks what it may send. For any order of
+// events, the call manager ensures that
+//  1. at most one answer to a call is sent, whatever the front or a fault behind it tries to send;
+//  2. the front hears at most once that a call was requested and at most once that it ended;
+//  3. a peer that floods the director with cancelled calls is closed, and one with too many calls is refused
+//     further ones, without effect on other peers;
+//  4. a drain ends no call: each peer is first told to go elsewhere and is closed once it is idle.
+// Events on calls that have already ended are ignored. Nothing throws.
+//
+// No sockets, no clock and no message format: times are microseconds on the caller's clock. The drain follows
+// the two-step GOAWAY of RFC 9113, section 6.8; see docs/design/clients.md.
 #pragma once
 
 #include <cstdint>
@@ -21,130 +25,149 @@
 
 namespace lupinsill::admission {
 
-using PeerId = std::uint64_t;
+using PeerId = std::uint64_t;  // never reused within a director
 using session::CallId;
 
+// Resource limits.
 struct Limits {
   std::size_t peers = 10'000;
   std::size_t maxCallsPerPeer = 32;
-  // Calls taken back before their answer: so many at once, and so many a second after that.
+  // Leaky bucket for calls that a peer cancels before their answer: its capacity and its leak rate.
   double cancelBurst = 100;
   double cancelsPerSecond = 10;
-  Micros requestTimeout = 5'000'000;     // a call without an ask is ended after it
-  Micros drainNoticePeriod = 1'000'000;  // between the notice of a drain and the last word on it
-  Micros callRetryAfter = 500'000;       // when a call over the bound may come back
-  Micros peerRetryAfter = 1'000'000;     // when a peer over the bound may come back
+  Micros requestTimeout = 5'000'000;     // from the start of a call to its request; the call ends after it
+  Micros drainNoticePeriod = 1'000'000;  // from the drain notice to the final one
+  Micros callRetryAfter = 500'000;       // when to retry a call beyond maxCallsPerPeer
+  Micros peerRetryAfter = 1'000'000;     // when to retry a connection beyond `peers`
 };
 
+// Whether a new connection was accepted as a peer.
 struct AcceptResult {
   PeerId peer = 0;
   bool accepted = false;
-  Micros retryAfter = 0;
+  Micros retryAfter = 0;  // if not accepted
 };
 
-enum class OpenError { none, tooManyCalls, abusive };
+// Why a call was not opened.
+enum class OpenError {
+  none,
+  tooManyCalls,
+  abusive  // the peer is unknown or is being closed for a cancellation flood
+};
 struct OpenResult {
-  CallId callId = 0;
+  CallId callId = 0;  // 0: not opened
   OpenError error = OpenError::none;
-  Micros retryAfter = 0;  // of one that was not opened
+  Micros retryAfter = 0;  // if there are too many calls
 };
 
-// What a player did on its call.
+// What a player did on its call. `halfClose`: it will send no more, but still reads. `reset`: it broke the
+// call off.
 enum class CallInput { request, leave, halfClose, reset };
-// What the edge does about it.
+// What the server does about it.
 enum class CallAction {
   none,          // nothing
-  accept,        // hand the ask to the front
+  accept,        // pass the request to the front
   notifyLeft,    // tell the front that the player left
-  notifyClosed,  // tell the front that the player vanished: it may come back with its key
-  reject,        // the word has no place here: end the call as the protocol does for a wrong message
-  end,           // end the call; the front knows nothing of it
+  notifyClosed,  // tell the front that the call broke off: the player may return with its idempotency key
+  reject,        // the input is invalid in this state: end the call as the protocol does for a wrong message
+  end,           // end the call, which the front does not know
 };
 struct InputResult {
   CallAction action = CallAction::none;
-  bool abusive = false;       // besides: end the whole peer
-  bool notifyClosed = false;  // besides, of a word refused: the front has the call and has to hear
+  bool abusive = false;       // also close the peer, for a cancellation flood
+  bool notifyClosed = false;  // with `reject`: also tell the front, which knows the call, that it broke off
 };
 
-// What the director says on a call.
+// What the director sends on a call.
 enum class ReplyKind { playing, throttled, terminated, error, rung, ended };
+// Whether a reply may be sent, and whether the call ends with it.
 enum class SendMode { drop, keepOpen, endCall };
 
-// What is due by time.
+// An action that a server has to take because of the time or a drain.
 struct DueAction {
   enum class Kind {
-    drainNotice,       // tell the peer that it should open no more calls here
-    finalDrainNotice,  // tell it which calls were taken: later ones were not
-    closePeer,         // it is idle and has been told: close it
-    endCall            // its own deadline has passed
+    drainNotice,       // tell the peer to open no more calls here
+    finalDrainNotice,  // tell the peer which call was the last one accepted: no later one ran
+    closePeer,         // close the peer, which is idle and has both notices
+    endCall            // end the call, whose deadline has passed
   } kind;
   PeerId peer = 0;
   CallId callId = 0;
-  bool notifyClosed = false;  // of a call that the front has
+  bool notifyClosed = false;  // with `endCall`: also tell the front, which knows the call
 };
 
+// Totals since the start, and the current numbers of peers and open calls.
 struct Statistics {
-  std::uint64_t taken = 0, refused = 0, calls = 0, callsRefused = 0, abusive = 0, invalidInputs = 0;
-  std::uint64_t secondAnswers = 0;  // stays 0 on a sound build
-  std::uint64_t deadlines = 0;
+  std::uint64_t taken = 0, refused = 0;  // peers
+  std::uint64_t calls = 0, callsRefused = 0;
+  std::uint64_t abusive = 0;  // peers closed for a cancellation flood
+  std::uint64_t invalidInputs = 0;
+  // Answers dropped since the call had one already or no request yet; 0 unless there is a bug.
+  std::uint64_t secondAnswers = 0;
+  std::uint64_t deadlines = 0;  // calls ended at their deadline or without a request
   std::size_t peers = 0, open = 0;
 };
 
 class CallManager {
  public:
-  explicit CallManager(const Limits& bounds) : bounds_(bounds) {}
-  void setLimits(const Limits& bounds) { bounds_ = bounds; }
+  explicit CallManager(const Limits& limits) : limits_(limits) {}
+  void setLimits(const Limits& limits) { limits_ = limits; }
 
   // ---- peers ----
+  // Registers a new connection unless there are too many.
   AcceptResult acceptPeer(Micros now);
-  // Its connection is gone: the lines that the front has to hear of.
+  // The connection has closed. Ends its calls and returns those that the front has to be told of.
   std::vector<CallId> removePeer(PeerId peer);
 
   // ---- calls ----
-  // `timeout`: of the call as a whole, where its protocol has one.
+  // Opens a call. `timeout`: of the call as a whole, if the protocol has one.
   OpenResult open(Micros now, PeerId peer, std::optional<Micros> timeout);
-  InputResult handleInput(Micros now, CallId callId, CallInput word);
-  // The front would not have the ask: nothing of it was taken.
+  // Returns what to do about an input on a call.
+  InputResult handleInput(Micros now, CallId callId, CallInput input);
+  // The front rejected the request as invalid: ends the call.
   void rejected(CallId callId);
-  // Whether this may be sent, and whether the call ends with it.
-  SendMode reply(CallId callId, ReplyKind tell);
-  // What is left of the call's own deadline.
+  // Returns whether a reply of this kind may be sent; the caller has to send it then.
+  SendMode reply(CallId callId, ReplyKind kind);
+  // Returns the time left until the deadline of the call, if it has one.
   std::optional<Micros> timeLeft(Micros now, CallId callId) const;
 
   // ---- the director as a whole ----
-  void drain(bool on);
+  // Starts a drain or calls it off. Peers that have a drain notice are closed in either case.
+  void drain(bool enabled);
   bool draining() const { return draining_; }
+  // Appends the actions that are due by now.
   void tick(Micros now, std::vector<DueAction>& due);
   Statistics statistics() const;
 
  private:
-  enum class State { opened, asked, plays };
-  enum class Told { nothing, notice, lastWord, ended };
+  // `opened`: no request yet; `requested`: passed to the front, not answered yet.
+  enum class State { opened, requested, playing };
+  enum class DrainState { notNotified, noticeSent, finalNoticeSent, closing };
   struct Peer {
     std::set<CallId> calls;
-    double takenBack = 0;  // in a bucket that empties
-    Micros emptiedAt = 0;
-    Told told = Told::nothing;
-    Micros toldAt = 0;
+    double cancelLevel = 0;      // cancellations in the leaky bucket
+    Micros cancelLevelTime = 0;  // when cancelLevel was last updated
+    DrainState drainState = DrainState::notNotified;
+    Micros noticeTime = 0;  // of the last drain notice
     bool abusive = false;
   };
   struct Call {
     PeerId peer = 0;
     State state = State::opened;
-    Micros until = 0;
+    Micros expiresAt = 0;  // 0: never
     std::optional<Micros> deadline;
   };
   void end(CallId callId);
-  bool takeBack(Micros now, Peer& peer);
+  bool recordCancellation(Micros now, Peer& peer);
 
-  Limits bounds_;
+  Limits limits_;
   bool draining_ = false;
-  bool telling_ = false;  // somebody may have been told of a drain
-  PeerId nextPeer_ = 0;
-  CallId nextLine_ = 0;
+  bool drainEverStarted_ = false;  // some peers may have a drain notice
+  PeerId lastPeerId_ = 0;
+  CallId lastCallId_ = 0;
   std::map<PeerId, Peer> peers_;
   std::map<CallId, Call> calls_;
-  std::set<std::pair<Micros, CallId>> untils_;
+  std::set<std::pair<Micros, CallId>> expiries_;  // Call::expiresAt of the calls that expire
   Statistics statistics_;
 };
 
--- a/src/admission/player_server.h
+++ b/src/admission/player_server.h
@@ -1,5 +1,5 @@
-// The seam behind the desk: a protocol's edge as the director uses it: it carries what the desk lets through,
-// and what is due by time.
+// The interface through which the director uses the server of a player protocol (WebSocket or gRPC): it sends
+// what the call manager lets through and carries out the actions that are due.
 #pragma once
 
 #include "admission/call_manager.h"
@@ -9,14 +9,18 @@
 
 struct PlayerServer {
   virtual ~PlayerServer() = default;
-  // False where the line is not of this door. `ends`: the call is over with it.
+  // Sends a message on a call. Returns false if the call is not one of this server's. `ends`: the call ends
+  // with the message.
   virtual bool send(session::CallId callId, const session_api::AnswerMessage& message, bool ends) = 0;
-  // Passed over where the peer is not of this door.
+  // Carries out an action. Ignored if its peer is not one of this server's.
   virtual void send(const DueAction& due) = 0;
-  // As if the connection, or where there is such a thing the call, had broken.
+  // Aborts the connection of a call, or only the call where the protocol can do that, as if it had broken.
   virtual void cut(session::CallId callId) = 0;
+  // Closes all connections.
   virtual void closeAll() = 0;
-  virtual void tick(Micros now) = 0;  // frees what has died; some times a second
+  // Frees closed connections; call it several times a second.
+  virtual void tick(Micros now) = 0;
+  // Number of connections.
   virtual std::size_t sockets() const = 0;
 };
 
--- a/src/admission/request_translator.cpp
+++ b/src/admission/request_translator.cpp
@@ -9,46 +9,47 @@
     : names_(std::move(names)), roomTypes_(std::move(roomTypes)) {}
 
 std::optional<session::PlayRequest> RequestTranslator::translate(session::CallId callId,
-                                                                 const session_api::PlayMessage& ask,
-                                                                 std::optional<Micros> left,
+                                                                 const session_api::PlayMessage& message,
+                                                                 std::optional<Micros> timeLeft,
                                                                  const fleet::Membership& fleet,
-                                                                 std::string& why) const {
-  const auto room = std::find(names_.roomTypes.begin(), names_.roomTypes.end(), ask.room);
-  if (room == names_.roomTypes.end()) return why = "room: unknown room type", std::nullopt;
-  const auto tenant = std::find(names_.tenants.begin(), names_.tenants.end(), ask.tenant);
+                                                                 std::string& error) const {
+  const auto room = std::find(names_.roomTypes.begin(), names_.roomTypes.end(), message.room);
+  if (room == names_.roomTypes.end()) return error = "room: unknown room type", std::nullopt;
+  const auto tenant = std::find(names_.tenants.begin(), names_.tenants.end(), message.tenant);
   if (!names_.tenants.empty() && tenant == names_.tenants.end())
-    return why = "tenant: unknown tenant", std::nullopt;
+    return error = "tenant: unknown tenant", std::nullopt;
   const auto index = static_cast<std::size_t>(room - names_.roomTypes.begin());
   const RoomType& type = roomTypes_[index];
-  // A paid key names the director that it is for, so that another one knows it for a stranger's even where
-  // the player does not say that it asked before.
-  const std::size_t colon = ask.key.find(':');
+  // The key of a request that must not run twice starts with the name of the director it was first sent to.
+  // Any other director thus recognises it as foreign even if the player does not say that this is a repeat.
+  const std::size_t colon = message.key.find(':');
   const bool unsafe = type.effect != Effect::repeatable;
-  if (unsafe && (colon == std::string::npos || colon + 1 == ask.key.size()))
-    return why = "key: the director's name, a colon and more expected for this room type", std::nullopt;
-  const bool foreign = unsafe && ask.key.compare(0, colon, names_.director) != 0;
-  const fleet::TitlePlacement at = fleet.placementOf(ask.title);
-  session::PlayRequest out;
-  out.callId = callId;
-  out.idempotencyKey = ask.key;
-  out.viewer = ask.viewer;
-  out.title = ask.title;
-  out.roomType = static_cast<int>(index);
-  out.party = names_.tenants.empty() ? -1 : static_cast<int>(tenant - names_.tenants.begin());
-  out.firstCell = at.firstCell;
-  out.holders = at.holders;
-  out.top = std::min(ask.top, type.top);
-  // The shortest of three: the room type's, the player's own, and what its protocol cuts the call off at.
-  out.timeout = names_.clientTimeouts[index];
-  if (ask.timeout) out.timeout = std::min(out.timeout, *ask.timeout);
-  if (left) out.timeout = std::min(out.timeout, *left);
-  out.length = ask.length;
-  out.sinceFirstSent = ask.sinceFirstSent;
-  out.repeat = foreign || (!ask.previousDirector.empty() && ask.previousDirector != names_.director)
-                   ? session::PlayRequest::Repeat::elsewhere
-               : ask.previousDirector.empty() ? session::PlayRequest::Repeat::no
-                                              : session::PlayRequest::Repeat::here;
-  return out;
+  if (unsafe && (colon == std::string::npos || colon + 1 == message.key.size()))
+    return error = "key: the director's name, a colon and more expected for this room type", std::nullopt;
+  const bool foreign = unsafe && message.key.compare(0, colon, names_.director) != 0;
+  const fleet::TitlePlacement placement = fleet.placementOf(message.title);
+  session::PlayRequest request;
+  request.callId = callId;
+  request.idempotencyKey = message.key;
+  request.viewer = message.viewer;
+  request.title = message.title;
+  request.roomType = static_cast<int>(index);
+  request.party = names_.tenants.empty() ? -1 : static_cast<int>(tenant - names_.tenants.begin());
+  request.firstCell = placement.firstCell;
+  request.holders = placement.holders;
+  request.top = std::min(message.top, type.top);
+  // The shortest of the room type's client timeout, the player's own timeout and the deadline of the call.
+  request.timeout = names_.clientTimeouts[index];
+  if (message.timeout) request.timeout = std::min(request.timeout, *message.timeout);
+  if (timeLeft) request.timeout = std::min(request.timeout, *timeLeft);
+  request.length = message.length;
+  request.sinceFirstSent = message.sinceFirstSent;
+  request.repeat =
+      foreign || (!message.previousDirector.empty() && message.previousDirector != names_.director)
+          ? session::PlayRequest::Repeat::elsewhere
+      : message.previousDirector.empty() ? session::PlayRequest::Repeat::no
+                                         : session::PlayRequest::Repeat::here;
+  return request;
 }
 
 }  // namespace lupinsill::admission
--- a/src/admission/request_translator.h
+++ b/src/admission/request_translator.h
@@ -1,7 +1,10 @@
-// What an ask means at this director: its names against those of the deployment, its bounds under the room
-// type's, and whose a key is. No I/O, no clock. The same words mean the same over every protocol, so that a
-// repeat over another one is known for what it is.
-// An ask that names what is not there is refused with a reason, and nothing of it is taken.
+// Translates a player's request into the front's form: resolves its names against those of the deployment,
+// applies the limits of its room type, and determines whether its idempotency key was sent before, and where.
+//
+// The result does not depend on the protocol, so a request that is repeated over another protocol is
+// recognised as a repeat. A request with an unknown name is rejected with a reason and has no effect.
+//
+// No I/O and no clock.
 #pragma once
 
 #include <optional>
@@ -17,16 +20,18 @@
 class RequestTranslator {
  public:
   struct Names {
-    std::string director;
-    std::vector<std::string> roomTypes, tenants;  // by the index that ControlSettings uses
+    std::string director;                         // the name of this director
+    std::vector<std::string> roomTypes, tenants;  // by their index in ControlSettings
     std::vector<Micros> clientTimeouts;           // by room type
   };
   RequestTranslator(Names names, std::vector<RoomType> roomTypes);
 
-  // `left`: what the protocol itself leaves the ask, where it says so.
-  std::optional<session::PlayRequest> translate(session::CallId callId, const session_api::PlayMessage& ask,
-                                                std::optional<Micros> left, const fleet::Membership& fleet,
-                                                std::string& why) const;
+  // Returns the request for the front, or nothing and the reason in `error`. `timeLeft`: until the deadline
+  // of the call, if its protocol has one.
+  std::optional<session::PlayRequest> translate(session::CallId callId,
+                                                const session_api::PlayMessage& message,
+                                                std::optional<Micros> timeLeft,
+                                                const fleet::Membership& fleet, std::string& error) const;
 
  private:
   Names names_;
--- a/src/session_api/messages.h
+++ b/src/session_api/messages.h
@@ -1,5 +1,6 @@
-// What players and a director say to each other, whatever protocol carries it, and the two seams between a
-// protocol's edge and the director. Plain values; no socket, no format. Source: docs/protocol.
+// The messages that players and a director exchange, independent of the protocol that carries them, and the
+// interface through which a protocol's server passes requests to the director. See docs/protocol for the
+// encodings.
 #pragma once
 
 #include <cstdint>
@@ -11,59 +12,66 @@
 
 namespace lupinsill::session_api {
 
-using CallId = std::uint64_t;  // one ask and what follows, named by the director; see session/front.h
+// Identifies a request and all that follows it; assigned by the director and never reused.
+using CallId = std::uint64_t;
 
-// Player to director.
+// Player to director: starts a session.
 struct PlayMessage {
-  std::string id;  // names the ask on its connection, where the protocol needs a name for that
-  std::string key;
+  std::string id;   // identifies the request on its connection, where the protocol needs that
+  std::string key;  // idempotency key, the same in every repeat of the request
   std::string viewer;
   std::string title;
-  std::string room;
-  std::string tenant;
-  int top = 1000;
-  std::optional<Micros> timeout;
-  std::optional<Micros> length;
-  std::string previousDirector;  // the director this key was sent to before; empty: none
-  std::optional<Micros> sinceFirstSent = std::nullopt;  // how long before this message that was first
+  std::string room;               // name of the room type
+  std::string tenant;             // empty: none
+  int top = 1000;                 // highest rung that the player wants
+  std::optional<Micros> timeout;  // how long the player waits for the answer
+  std::optional<Micros> length;   // of the session, if the player knows it
+  std::string previousDirector;   // the director this key was sent to before; empty: none
+  std::optional<Micros> sinceFirstSent = std::nullopt;  // time since the key was first sent, if repeated
 };
+// Player to director: ends a session or withdraws its request.
 struct LeaveMessage {
   std::string id;
 };
 
-// Director to player.
+// Director to player. `hello` opens a connection; `playing`, `throttled`, `terminated` and `error` answer a
+// request; `rung` and `ended` follow on a session that plays.
 enum class AnswerKind { hello, playing, rung, ended, throttled, terminated, error };
 struct AnswerMessage {
   AnswerKind kind = AnswerKind::error;
-  std::string id;
-  std::string subscription;
-  std::string node;  // host:port
+  std::string id;            // of the request
+  std::string subscription;  // name of the subscription
+  std::string node;          // the media node, as host:port
   int rung = 0;
-  std::string ticket;
+  std::string ticket;  // grants access to the media node
   std::string director;
   std::string reason;
-  Micros retryAfter = 0;
+  Micros retryAfter = 0;  // 0: none
 };
 
+// Longest text field of a message.
 inline constexpr std::size_t maxFieldBytes = 128;
+// Longest duration that a message may state: 24 h.
 inline constexpr Micros maxDuration = 24LL * 3600 * 1'000'000;
 
-// Whether a word from outside may be carried on: 1 to `maxFieldBytes` bytes without control characters (or
-// none, where it is not needed). A plain reason where it may not.
-inline const char* fieldError(std::string_view word, bool needed) {
-  if ((needed && word.empty()) || word.size() > maxFieldBytes) return "1 to 128 bytes expected";
-  for (const char c : word)
+// Returns why a text field from outside is invalid, or null if it is valid. A valid field has 1 to
+// `maxFieldBytes` bytes without control characters; it may be empty unless it is `required`.
+inline const char* fieldError(std::string_view field, bool required) {
+  if ((required && field.empty()) || field.size() > maxFieldBytes) return "1 to 128 bytes expected";
+  for (const char c : field)
     if (static_cast<unsigned char>(c) < 0x20) return "control character";
   return nullptr;
 }
 
-// The director, to the protocols' edges.
+// Receives the requests that a protocol's server has read. Implemented by the director.
 struct Handler {
   virtual ~Handler() = default;
-  // A well-formed ask. False with a reason where it names what this deployment does not have: nothing of it
-  // was taken then.
-  virtual bool onRequest(CallId callId, const PlayMessage& ask, std::string& why) = 0;
+  // Handles a well-formed request. Returns false and the reason in `error` if it is invalid in this
+  // deployment, for instance names an unknown room type; it has no effect then.
+  virtual bool onRequest(CallId callId, const PlayMessage& message, std::string& error) = 0;
+  // The player left the call.
   virtual void onLeave(CallId callId) = 0;
+  // The call or its connection broke off; the player may repeat the request with the same key.
   virtual void onClosed(CallId callId) = 0;
 };
 
