--- a/src/control.cpp
+++ b/src/control.cpp
@@ -401,7 +401,7 @@
   Tally<20> further;
 
   Micros now() const { return post.now; }
-  void act(Action action) { post.out->push_back(action); }
+  void act(Action action) { post.out->push_back(std::move(action)); }
   void read(const Note& note) override;
   void start(Sub& sub);
   void place(Sub& sub);
--- a/src/control_settings/control_settings.cpp
+++ b/src/control_settings/control_settings.cpp
@@ -48,7 +48,7 @@
     if (const Json* v = itemIn(listIn(domain, "seats"), place))
       room.seats = static_cast<int>(parseInteger(*v, "seats", 0, 1'000'000'000));
     names.roomTypes.push_back(name);
-    terms.roomTypes.push_back(room);
+    terms.roomTypes.push_back(std::move(room));
   }
   for (const Json& item : listIn(options, "parties")) {
     if (!item.is_object()) bad("parties", "not an object");
