--- a/src/ledger/ledger.cpp
+++ b/src/ledger/ledger.cpp
@@ -13,8 +13,8 @@
   return digest;
 }
 
-const char* nameOf(RecordState mark) {
-  switch (mark) {
+const char* nameOf(RecordState state) {
+  switch (state) {
     case RecordState::intent:
       return "intent";
     case RecordState::played:
@@ -29,86 +29,91 @@
   return "?";
 }
 
-void Ledger::recover(Micros now, const std::vector<Record>& records, bool whole) {
-  // No digest of a key is all zeros: under that name the file itself says that one before it was lost.
-  const Digest lost{};
-  if (!whole) doubtUntil_ = now + memory_;
+void Ledger::recover(Micros now, const std::vector<Record>& records, bool complete) {
+  // Key of the record which persists that an earlier store was lost; no real digest is all zeros.
+  const Digest lossMarker{};
+  if (!complete) lossExpiresAt_ = now + retention_;
   std::vector<Record> sorted = records;
   std::sort(sorted.begin(), sorted.end(), [](const Record& a, const Record& b) {
     return std::pair(a.until, a.key) < std::pair(b.until, b.key);
   });
   for (const Record& record : sorted) {
     if (record.mark == RecordState::refused || record.until <= now) continue;
-    // An intent without an outcome may have run: the director was killed between the two. And what played
-    // ended with the director that held it.
-    const RecordState mark = record.mark == RecordState::intent   ? RecordState::mayHaveRun
-                             : record.mark == RecordState::played ? RecordState::over
-                                                                  : record.mark;
-    // A clock set back must not make a record outlive its memory, or the file would never empty.
-    const Micros until = std::min(record.until, now + memory_);
-    if (record.key == lost) {
-      doubtUntil_ = std::max(doubtUntil_, until);
+    // An intent without an outcome may have run, because the director was killed between the two. A
+    // subscription that was playing has ended with the director that served it.
+    const RecordState state = record.mark == RecordState::intent   ? RecordState::mayHaveRun
+                              : record.mark == RecordState::played ? RecordState::over
+                                                                   : record.mark;
+    // If the clock was set back, a record must not outlive its retention, or the file would never become
+    // empty.
+    const Micros until = std::min(record.until, now + retention_);
+    if (record.key == lossMarker) {
+      lossExpiresAt_ = std::max(lossExpiresAt_, until);
       continue;
     }
-    records_[record.key] = {mark, until};
-    order_.emplace_back(until, record.key);
+    records_[record.key] = {state, until};
+    expiryQueue_.emplace_back(until, record.key);
   }
-  // Guards against a second restart that finds the new file whole and forgets that the old one is gone.
-  if (!whole && stored_) writes_.push_back({++next_, {lost, RecordState::mayHaveRun, doubtUntil_}});
+  // Persists the loss: the next restart will find the new store complete and could not know of it otherwise.
+  if (!complete && hasStore_)
+    pendingWrites_.push_back({++lastSeq_, {lossMarker, RecordState::mayHaveRun, lossExpiresAt_}});
 }
 
-void Ledger::put(Micros now, const Digest& key, RecordState mark) {
-  if (mark == RecordState::refused) {
+void Ledger::put(Micros now, const Digest& key, RecordState state) {
+  if (state == RecordState::refused) {
     records_.erase(key);
   } else {
-    records_[key] = {mark, now + memory_};
-    order_.emplace_back(now + memory_, key);
+    records_[key] = {state, now + retention_};
+    expiryQueue_.emplace_back(now + retention_, key);
   }
-  const Write write{++next_, {key, mark, now + memory_}};
-  if (!stored_) return;
-  // The place of the first stays, the number of the last counts: whoever waits waits for the whole batch.
-  if (const auto it = pending_.find(key); it != pending_.end()) {
-    writes_[it->second] = write;
+  const Write write{++lastSeq_, {key, state, now + retention_}};
+  if (!hasStore_) return;
+  // Merged into the pending write of the key: it keeps its position but takes the new sequence number. The
+  // whole batch becomes durable at once, so waiting for either number is the same.
+  if (const auto it = pendingIndexByKey_.find(key); it != pendingIndexByKey_.end()) {
+    pendingWrites_[it->second] = write;
     return;
   }
-  pending_.emplace(key, writes_.size());
-  writes_.push_back(write);
+  pendingIndexByKey_.emplace(key, pendingWrites_.size());
+  pendingWrites_.push_back(write);
 }
 
 Seq Ledger::recordIntent(Micros now, const Digest& key) {
   put(now, key, RecordState::intent);
-  return next_;
+  return lastSeq_;
 }
 
-void Ledger::mark(Micros now, const Digest& key, RecordState mark) {
+void Ledger::updateState(Micros now, const Digest& key, RecordState state) {
   const auto it = records_.find(key);
-  // Guards against a late `refused` of one join that would erase what another join of the key has done.
-  if (mark == RecordState::refused && it != records_.end() && it->second.mark != RecordState::intent) return;
-  if (it != records_.end() && it->second.mark == mark) return;
-  put(now, key, mark);
+  // A late `refused` of one join must not erase the outcome of another join of the same key.
+  if (state == RecordState::refused && it != records_.end() && it->second.state != RecordState::intent)
+    return;
+  if (it != records_.end() && it->second.state == state) return;
+  put(now, key, state);
 }
 
-LookupResult Ledger::lookup(Micros now, const Digest& key, bool saidToBeRepeat,
+LookupResult Ledger::lookup(Micros now, const Digest& key, bool declaredRepeat,
                             std::optional<Micros> firstSentAt) const {
   const auto it = records_.find(key);
   if (it != records_.end() && now < it->second.until)
-    return it->second.mark == RecordState::over || it->second.mark == RecordState::played
+    return it->second.state == RecordState::over || it->second.state == RecordState::played
                ? LookupResult::played
                : LookupResult::mayHaveRun;
-  return saidToBeRepeat && doubtful(now, firstSentAt) ? LookupResult::mayHaveRun : LookupResult::nothing;
+  return declaredRepeat && mayHaveLostRecord(now, firstSentAt) ? LookupResult::mayHaveRun
+                                                               : LookupResult::nothing;
 }
 
 std::vector<Write> Ledger::takeWrites() {
-  pending_.clear();
-  return std::exchange(writes_, {});
+  pendingIndexByKey_.clear();
+  return std::exchange(pendingWrites_, {});
 }
 
 void Ledger::expire(Micros now) {
-  while (!order_.empty() && order_.front().first <= now) {
-    const auto it = records_.find(order_.front().second);
-    // Marked again since: a later place in the order speaks of it.
+  while (!expiryQueue_.empty() && expiryQueue_.front().first <= now) {
+    const auto it = records_.find(expiryQueue_.front().second);
+    // A record updated since then has a later entry in the queue.
     if (it != records_.end() && it->second.until <= now) records_.erase(it);
-    order_.pop_front();
+    expiryQueue_.pop_front();
   }
 }
 
--- a/src/session/decider.h
+++ b/src/session/decider.h
@@ -1,6 +1,7 @@
-// What decides for a front: the module (Control), or a baseline beside it in a measurement. The session core
-// asks through this seam only, so that guards and answers are the same whoever decides.
-// Source: src/control.h, whose events, actions and units (whole microseconds) it passes on unchanged.
+// The interface through which the session core (front.h) asks for placement decisions. Production uses
+// ControlDecider, which wraps the decision module of control.h; tests and comparisons substitute other
+// deciders. Guards and answers are therefore the same whoever decides. Events, actions and units (whole
+// microseconds) are those of control.h.
 #pragma once
 
 #include <vector>
@@ -9,18 +10,21 @@
 
 namespace lupinsill::session {
 
+// Turns events into actions. Called once or more per turn of the front.
 class Decider {
  public:
   virtual ~Decider() = default;
-  // Never throws; appends to `actions` and leaves what stands there.
-  virtual void handle(Micros now, const std::vector<Event>& turn, std::vector<Action>& actions) = 0;
+  // Decides on the events that arrived since the last call. Appends to `actions` without changing the entries
+  // that are already there. Never throws.
+  virtual void handle(Micros now, const std::vector<Event>& events, std::vector<Action>& actions) = 0;
 };
 
+// Passes events to the decision module and returns its actions, both unchanged.
 class ControlDecider final : public Decider {
  public:
-  ControlDecider(ControlSettings terms, std::uint64_t seed) : control_(std::move(terms), seed) {}
-  void handle(Micros now, const std::vector<Event>& turn, std::vector<Action>& actions) override {
-    control_.handle(now, turn, actions);
+  ControlDecider(ControlSettings settings, std::uint64_t seed) : control_(std::move(settings), seed) {}
+  void handle(Micros now, const std::vector<Event>& events, std::vector<Action>& actions) override {
+    control_.handle(now, events, actions);
   }
 
  private:
--- a/src/session/front.cpp
+++ b/src/session/front.cpp
@@ -7,8 +7,9 @@
 namespace {
 
 constexpr Micros millisecond = 1'000;
-constexpr Micros tick = 200 * millisecond;  // at least so often there is a turn
-constexpr int roundsMost = 64;              // of held-back joins within one turn
+constexpr Micros maxTurnInterval = 200 * millisecond;
+// The decider is asked again in the same turn when a guard rejects one of its joins.
+constexpr int maxDeciderRounds = 64;
 
 bool provesNothingRan(Outcome outcome) {
   return outcome == Outcome::full || outcome == Outcome::connectFailed || outcome == Outcome::notSent;
@@ -16,8 +17,8 @@
 
 }  // namespace
 
-const char* nameOf(ThrottleReason why) {
-  switch (why) {
+const char* nameOf(ThrottleReason reason) {
+  switch (reason) {
     case ThrottleReason::noRoom:
       return "no-room";
     case ThrottleReason::busy:
@@ -31,8 +32,8 @@
   }
   return "?";
 }
-const char* nameOf(TerminateReason why) {
-  switch (why) {
+const char* nameOf(TerminateReason reason) {
+  switch (reason) {
     case TerminateReason::mayHaveRun:
       return "may-have-run";
     case TerminateReason::ended:
@@ -44,8 +45,8 @@
   }
   return "?";
 }
-const char* nameOf(EndReason why) {
-  switch (why) {
+const char* nameOf(EndReason reason) {
+  switch (reason) {
     case EndReason::finished:
       return "finished";
     case EndReason::nodeLost:
@@ -56,625 +57,647 @@
   return "?";
 }
 
-Front::Front(ControlSettings terms, Limits bounds, std::unique_ptr<Decider> decider)
-    : terms_(std::move(terms)),
-      bounds_(bounds),
+Front::Front(ControlSettings settings, Limits limits, std::unique_ptr<Decider> decider)
+    : settings_(std::move(settings)),
+      limits_(limits),
       decider_(std::move(decider)),
-      guards_(terms_, bounds.grace),
-      ledger_(bounds.keyRetention, bounds.maxKeys, bounds.keysStored),
-      retryAfterSchedule_(terms_) {}
+      guards_(settings_, limits.grace),
+      ledger_(limits.keyRetention, limits.maxKeys, limits.keysStored),
+      retryAfterSchedule_(settings_) {}
 
-// ---- what comes in ----
+// ---- inbound events ----
 
-void Front::submit(PlayRequest ask) { came_.push_back(CameAsk{std::move(ask)}); }
-void Front::leave(CallId callId) { came_.push_back(CameLeave{callId, false}); }
-void Front::closed(CallId callId) { came_.push_back(CameLeave{callId, true}); }
-void Front::joinStarted(JoinId join) { came_.push_back(CameBegan{join}); }
+void Front::submit(PlayRequest request) { inboundEvents_.push_back(InboundRequest{std::move(request)}); }
+void Front::leave(CallId callId) { inboundEvents_.push_back(InboundLeave{callId, false}); }
+void Front::closed(CallId callId) { inboundEvents_.push_back(InboundLeave{callId, true}); }
+void Front::joinStarted(JoinId join) { inboundEvents_.push_back(InboundJoinStart{join}); }
 void Front::drain(bool on) { draining_ = on; }
-void Front::setAnswerDeadline(Micros at) {
-  answerBy_ = at;
-  for (auto& [id, request] : requests_)
-    if (!request->answered) hasten(*request, at);
+void Front::setAnswerDeadline(Micros deadline) {
+  answerDeadline_ = deadline;
+  for (auto& [id, subscription] : subscriptions_)
+    if (!subscription->answered) shortenDeadline(*subscription, deadline);
 }
 
-void Front::endAll() { ending_ = draining_ = true; }
+void Front::endAll() { endAllRequested_ = draining_ = true; }
 
-// At once, not at the next turn: a time-out in between must know that the join may run.
+// Takes effect at once: a time-out before the next turn must know that the join may run.
 bool Front::mayWrite(Micros now, JoinId join) {
-  JoinOut* out = findJoin(join);
-  if (out == nullptr) return false;
+  JoinAttempt* attempt = findAttempt(join);
+  if (attempt == nullptr) return false;
   Rule rule = Rule::drain;
-  if (bounds_.guardsEnabled && !out->written && !guards_.mayWrite(now, out->node, rule))
-    return trip(rule), false;
-  return out->written = true;
+  if (limits_.guardsEnabled && !attempt->written && !guards_.mayWrite(now, attempt->node, rule))
+    return countViolation(rule), false;
+  return attempt->written = true;
 }
 
 void Front::joinEnded(JoinId join, Outcome outcome, const LoadReport& report, bool finished) {
-  came_.push_back(CameEnd{join, outcome, report, finished});
+  inboundEvents_.push_back(InboundJoinEnd{join, outcome, report, finished});
 }
 
-void Front::measured(JoinId join, MeasurementKind reading, double value) {
-  if (const JoinOut* out = findJoin(join))
-    came_.push_back(CameEvent{MeasurementReported{out->request->id, out->node, reading, value}});
+void Front::measured(JoinId join, MeasurementKind kind, double value) {
+  if (const JoinAttempt* attempt = findAttempt(join))
+    inboundEvents_.push_back(
+        InboundControlEvent{MeasurementReported{attempt->subscription->id, attempt->node, kind, value}});
 }
 
-void Front::listUpdated(ListUpdate told) { came_.push_back(CameEvent{std::move(told)}); }
+void Front::listUpdated(ListUpdate update) {
+  inboundEvents_.push_back(InboundControlEvent{std::move(update)});
+}
 
-// ---- the turn ----
+// ---- turns ----
 
-void Front::processTurn(Micros now, std::vector<Command>& orders) {
+void Front::processTurn(Micros now, std::vector<Command>& commands) {
   now_ = now;
-  orders_ = &orders;
+  commands_ = &commands;
   const Micros gap = lastTurn_ == 0 ? 0 : now - lastTurn_;
   lastTurn_ = now;
-  waited_ = gap > bounds_.stallThreshold ? gap : 0;
-  if (waited_ != 0) ++statistics_.stalls;
-
-  // Joins whose intent is on disk by now; those given up on meanwhile have gone from joins_.
-  while (!unrecorded_.empty() && ledger_.isDurable(unrecorded_.front().first)) {
-    SetUp& order = unrecorded_.front().second;
-    if (const JoinOut* out = findJoin(order.join)) {
-      order.rung = out->request->rung;
-      // The node may have begun to drain while the disk was slow.
-      if (guards_.draining(order.node))
-        joinEnded(order.join, Outcome::notSent, {});
+  stallTime_ = gap > limits_.stallThreshold ? gap : 0;
+  if (stallTime_ != 0) ++statistics_.stalls;
+
+  // Send the joins whose intent has reached the disk. Those that have ended meanwhile are no longer in
+  // attempts_.
+  while (!unrecordedJoins_.empty() && ledger_.isDurable(unrecordedJoins_.front().first)) {
+    SetUp& setUp = unrecordedJoins_.front().second;
+    if (const JoinAttempt* attempt = findAttempt(setUp.join)) {
+      setUp.rung = attempt->subscription->rung;
+      // The node may have begun to drain while the store was writing.
+      if (guards_.isNotReady(setUp.node))
+        joinEnded(setUp.join, Outcome::notSent, {});
       else
-        orders.push_back(order);
+        commands.push_back(setUp);
     }
-    unrecorded_.pop_front();
+    unrecordedJoins_.pop_front();
   }
-  if (storeFailed_) giveUpUnrecorded();
-
-  std::vector<Came> came = std::move(came_);
-  came_.clear();
-  // What the list says holds for every ask and join of the same turn, in whatever order sockets were read.
-  const auto list = [](const Came& one) {
-    const auto* event = std::get_if<CameEvent>(&one);
+  if (storeFailed_) cancelUnrecordedJoins();
+
+  std::vector<InboundEvent> inboundEvents = std::move(inboundEvents_);
+  inboundEvents_.clear();
+  // List updates go first, so that the order in which sockets were read does not decide whether a request or
+  // join of this turn sees them.
+  const auto isListUpdate = [](const InboundEvent& inbound) {
+    const auto* event = std::get_if<InboundControlEvent>(&inbound);
     return event != nullptr && std::holds_alternative<ListUpdate>(event->event);
   };
-  std::stable_partition(came.begin(), came.end(), list);
-  for (Came& one : came) std::visit([this](auto& c) { take(c); }, one);
+  std::stable_partition(inboundEvents.begin(), inboundEvents.end(), isListUpdate);
+  for (InboundEvent& inbound : inboundEvents) std::visit([this](auto& event) { process(event); }, inbound);
 
-  while (!timeouts_.empty() && timeouts_.begin()->first <= now) {
-    JoinOut* out = findJoin(timeouts_.begin()->second);
-    timeouts_.erase(timeouts_.begin());
-    if (out != nullptr) timeOut(*out);
+  while (!joinDeadlines_.empty() && joinDeadlines_.begin()->first <= now) {
+    JoinAttempt* attempt = findAttempt(joinDeadlines_.begin()->second);
+    joinDeadlines_.erase(joinDeadlines_.begin());
+    if (attempt != nullptr) timeOutJoin(*attempt);
   }
-  while (!alarms_.empty() && alarms_.begin()->first <= now) {
-    events_.push_back(TimerFired{alarms_.begin()->second});
-    alarms_.erase(alarms_.begin());
+  while (!timers_.empty() && timers_.begin()->first <= now) {
+    deciderEvents_.push_back(TimerFired{timers_.begin()->second});
+    timers_.erase(timers_.begin());
   }
-  // The first turn goes to the decider though nothing came in: it sets its alarm then.
-  bool first = true;
-  for (int round = 0; round < roundsMost && (first || !events_.empty()); ++round) {
-    first = false;
-    const std::vector<Event> batch = std::move(events_);
-    events_.clear();
+  // The decider is called even without events, so that it can set its timers in the first turn.
+  bool firstRound = true;
+  for (int round = 0; round < maxDeciderRounds && (firstRound || !deciderEvents_.empty()); ++round) {
+    firstRound = false;
+    const std::vector<Event> events = std::move(deciderEvents_);
+    deciderEvents_.clear();
     std::vector<Action> actions;
-    decider_->handle(now, batch, actions);
-    for (const Action& action : actions) act(action);
+    decider_->handle(now, events, actions);
+    for (const Action& action : actions) execute(action);
   }
-  lateOnes();
-  if (ending_) endEverything();
+  expireDeadlines();
+  if (endAllRequested_) endAllSubscriptions();
   ledger_.expire(now);
-  orders_ = nullptr;
+  commands_ = nullptr;
 }
 
 Micros Front::due() const {
-  if (!events_.empty() || !came_.empty() || (storeFailed_ && !unrecorded_.empty()) ||
-      (!unrecorded_.empty() && ledger_.isDurable(unrecorded_.front().first)))
+  if (!deciderEvents_.empty() || !inboundEvents_.empty() || (storeFailed_ && !unrecordedJoins_.empty()) ||
+      (!unrecordedJoins_.empty() && ledger_.isDurable(unrecordedJoins_.front().first)))
     return lastTurn_;
-  Micros at = lastTurn_ + tick;
-  if (!timeouts_.empty()) at = std::min(at, timeouts_.begin()->first);
-  if (!alarms_.empty()) at = std::min(at, alarms_.begin()->first);
+  Micros at = lastTurn_ + maxTurnInterval;
+  if (!joinDeadlines_.empty()) at = std::min(at, joinDeadlines_.begin()->first);
+  if (!timers_.empty()) at = std::min(at, timers_.begin()->first);
   if (!deadlines_.empty()) at = std::min(at, deadlines_.begin()->first);
   return at;
 }
 
-// ---- asks ----
+// ---- requests ----
 
-ledger::Digest Front::keyOf(const PlayRequest& ask) {
-  return ledger::digestOf(ask.viewer + '\n' + ask.title + '\n' + std::to_string(ask.roomType) + '\n' +
-                          ask.idempotencyKey);
+ledger::Digest Front::digestOfKey(const PlayRequest& request) {
+  return ledger::digestOf(request.viewer + '\n' + request.title + '\n' + std::to_string(request.roomType) +
+                          '\n' + request.idempotencyKey);
 }
 
-void Front::take(CameAsk& came) {
-  PlayRequest& ask = came.ask;
-  if (lines_.contains(ask.callId)) return;
+void Front::process(InboundRequest& inbound) {
+  PlayRequest& request = inbound.request;
+  if (subscriptionByCall_.contains(request.callId)) return;
   ++statistics_.asks;
-  // Guards against an edge that hands on what it did not check: nothing can be known of such an ask.
-  if (ask.roomType < 0 || static_cast<std::size_t>(ask.roomType) >= terms_.roomTypes.size()) {
+  // A transport should have rejected an unknown room type; no setting applies to such a request.
+  if (request.roomType < 0 || static_cast<std::size_t>(request.roomType) >= settings_.roomTypes.size()) {
     ++statistics_.terminated;
-    return orders_->push_back(Terminated{ask.callId, TerminateReason::failed});
+    return commands_->push_back(Terminated{request.callId, TerminateReason::failed});
   }
-  const RoomType& room = terms_.roomTypes[static_cast<std::size_t>(ask.roomType)];
+  const RoomType& room = settings_.roomTypes[static_cast<std::size_t>(request.roomType)];
   const bool unsafe = room.effect != Effect::repeatable;
-  if (unsafe && !ask.idempotencyKey.empty() && repeated(ask)) return;
-  const auto refuse = [&](ThrottleReason why) {
+  if (unsafe && !request.idempotencyKey.empty() && handleRepeat(request)) return;
+  const auto throttle = [&](ThrottleReason reason) {
     ++statistics_.throttled;
-    orders_->push_back(Throttled{ask.callId, retryAfterSchedule_.next(), why});
+    commands_->push_back(Throttled{request.callId, retryAfterSchedule_.next(), reason});
   };
-  if (draining_) return refuse(ThrottleReason::draining);
-  if (ask.holders <= 0) return refuse(ThrottleReason::unknownTitle);
-  // Guards against answers after the client timeout where this director stood still: the ask may have lain
-  // in its socket for as long as that, and the client's clock has run all the time.
-  Micros deadline = now_ + ask.timeout - bounds_.answerMargin - waited_;
-  if (answerBy_ != 0) deadline = std::min(deadline, answerBy_);
-  if (deadline - now_ < bounds_.minTimeLeft) {
+  if (draining_) return throttle(ThrottleReason::draining);
+  if (request.holders <= 0) return throttle(ThrottleReason::unknownTitle);
+  // After a stall the request may have waited in its socket for the length of the stall while the client
+  // timeout was already running; without this deduction the answer could come after the client timeout.
+  Micros deadline = now_ + request.timeout - limits_.answerMargin - stallTime_;
+  if (answerDeadline_ != 0) deadline = std::min(deadline, answerDeadline_);
+  if (deadline - now_ < limits_.minTimeLeft) {
     ++statistics_.late;
-    return refuse(ThrottleReason::late);
+    return throttle(ThrottleReason::late);
   }
-  if (statistics_.open >= bounds_.maxOpen || requests_.size() >= bounds_.maxSubscriptions ||
-      (unsafe && (ledger_.full() || byKey_.size() >= bounds_.maxKeys || storeFailed_)))
-    return refuse(ThrottleReason::busy);
-
-  auto made = std::make_unique<Request>();
-  Request& request = *made;
-  request.id = ++nextSub_;
-  request.deadline = deadline;
-  request.lines.push_back({ask.callId});
-  request.unsafe = unsafe;
-  request.ask = std::move(ask);
-  lines_[request.ask.callId] = request.id;
-  if (unsafe && !request.ask.idempotencyKey.empty()) {
-    request.key = keyOf(request.ask);
-    byKey_[request.key] = request.id;
+  if (statistics_.open >= limits_.maxOpen || subscriptions_.size() >= limits_.maxSubscriptions ||
+      (unsafe && (ledger_.full() || subscriptionByKey_.size() >= limits_.maxKeys || storeFailed_)))
+    return throttle(ThrottleReason::busy);
+
+  auto created = std::make_unique<Subscription>();
+  Subscription& subscription = *created;
+  subscription.id = ++lastSubscriptionId_;
+  subscription.deadline = deadline;
+  subscription.calls.push_back({request.callId});
+  subscription.unsafe = unsafe;
+  subscription.request = std::move(request);
+  subscriptionByCall_[subscription.request.callId] = subscription.id;
+  if (unsafe && !subscription.request.idempotencyKey.empty()) {
+    subscription.key = digestOfKey(subscription.request);
+    subscriptionByKey_[subscription.key] = subscription.id;
   }
-  deadlines_.emplace(deadline, request.id);
+  deadlines_.emplace(deadline, subscription.id);
   ++statistics_.open;
   guards_.requestArrived(now_);
-  events_.push_back(SubscriptionRequested{viewingOf(request)});
-  requests_.emplace(request.id, std::move(made));
+  deciderEvents_.push_back(SubscriptionRequested{infoOf(subscription)});
+  subscriptions_.emplace(subscription.id, std::move(created));
 }
 
-SubscriptionInfo Front::viewingOf(const Request& request) const {
-  const PlayRequest& ask = request.ask;
-  return {request.id,  ask.title, ask.viewer,       ask.roomType, ask.party, ask.firstCell,
-          ask.holders, ask.top,   request.deadline, ask.length,   false};
+SubscriptionInfo Front::infoOf(const Subscription& subscription) const {
+  const PlayRequest& request = subscription.request;
+  return {subscription.id,  request.title, request.viewer,
+          request.roomType, request.party, request.firstCell,
+          request.holders,  request.top,   subscription.deadline,
+          request.length,   false};
 }
 
-JoinId Front::adopt(PlayRequest ask, NodeId node) {
-  came_.push_back(CameAdopted{std::move(ask), node, ++nextJoin_});
-  return nextJoin_;
+JoinId Front::adopt(PlayRequest request, NodeId node) {
+  inboundEvents_.push_back(InboundAdoption{std::move(request), node, ++lastJoinId_});
+  return lastJoinId_;
 }
 
-// It counts for its seats and its node from here on, as if this run had joined it itself.
-void Front::take(CameAdopted& came) {
-  if (lines_.contains(came.ask.callId) || came.ask.roomType < 0 ||
-      static_cast<std::size_t>(came.ask.roomType) >= terms_.roomTypes.size())
+// From here on the subscription counts towards its seats and its node as if this process had joined it.
+void Front::process(InboundAdoption& inbound) {
+  if (subscriptionByCall_.contains(inbound.request.callId) || inbound.request.roomType < 0 ||
+      static_cast<std::size_t>(inbound.request.roomType) >= settings_.roomTypes.size())
     return;
-  auto made = std::make_unique<Request>();
-  Request& request = *made;
-  request.id = ++nextSub_;
-  request.lines.push_back({came.ask.callId, true});
-  request.unsafe = terms_.roomTypes[static_cast<std::size_t>(came.ask.roomType)].effect != Effect::repeatable;
-  request.answered = request.mayHaveRun = true;
-  request.ask = std::move(came.ask);
-  request.joins = 1;
-  lines_[request.ask.callId] = request.id;
-  auto out = std::make_unique<JoinOut>();
-  out->key = came.key;
-  out->request = &request;
-  out->node = came.node;
-  out->written = out->began = true;
-  out->counted = bounds_.guardsEnabled;
-  if (out->counted) guards_.adopted(request.ask.title, request.ask.roomType);
-  request.out = out.get();
+  auto created = std::make_unique<Subscription>();
+  Subscription& subscription = *created;
+  subscription.id = ++lastSubscriptionId_;
+  subscription.calls.push_back({inbound.request.callId, true});
+  subscription.unsafe =
+      settings_.roomTypes[static_cast<std::size_t>(inbound.request.roomType)].effect != Effect::repeatable;
+  subscription.answered = subscription.mayHaveRun = true;
+  subscription.request = std::move(inbound.request);
+  subscription.joinCount = 1;
+  subscriptionByCall_[subscription.request.callId] = subscription.id;
+  auto attempt = std::make_unique<JoinAttempt>();
+  attempt->id = inbound.join;
+  attempt->subscription = &subscription;
+  attempt->node = inbound.node;
+  attempt->written = attempt->started = true;
+  attempt->countedByGuards = limits_.guardsEnabled;
+  if (attempt->countedByGuards) guards_.adopted(subscription.request.title, subscription.request.roomType);
+  subscription.attempt = attempt.get();
   ++statistics_.plays;
-  events_.push_back(SubscriptionAdopted{viewingOf(request), came.node});
-  joins_.emplace(came.key, std::move(out));
-  requests_.emplace(request.id, std::move(made));
+  deciderEvents_.push_back(SubscriptionAdopted{infoOf(subscription), inbound.node});
+  attempts_.emplace(inbound.join, std::move(attempt));
+  subscriptions_.emplace(subscription.id, std::move(created));
 }
 
-// Guards against a second charge where the answer to a paid ask was lost, the socket closed in the middle or
-// the client asked twice: the same key is the same ask, and is answered from its first join.
-bool Front::repeated(const PlayRequest& ask) {
-  const ledger::Digest key = keyOf(ask);
-  const auto refuse = [&](TerminateReason why) {
+// Prevents a second charge when a client repeats an unsafe request because the answer was lost, its socket
+// closed or it asked twice. A repeat gets the outcome of the first join of its key.
+bool Front::handleRepeat(const PlayRequest& request) {
+  const ledger::Digest key = digestOfKey(request);
+  const auto terminate = [&](TerminateReason reason) {
     ++statistics_.repeated;
     ++statistics_.terminated;
-    orders_->push_back(Terminated{ask.callId, why});
+    commands_->push_back(Terminated{request.callId, reason});
     return true;
   };
-  const auto it = byKey_.find(key);
-  if (it == byKey_.end()) {
-    // At the latest: this ask may itself have been on its way for as long as its client waits.
+  const auto it = subscriptionByKey_.find(key);
+  if (it == subscriptionByKey_.end()) {
+    // Earliest possible time: this request may itself have been on its way for up to its client timeout.
     std::optional<Micros> firstSentAt;
-    if (ask.sinceFirstSent) firstSentAt = now_ - *ask.sinceFirstSent - ask.timeout - waited_;
+    if (request.sinceFirstSent) firstSentAt = now_ - *request.sinceFirstSent - request.timeout - stallTime_;
     const ledger::LookupResult known =
-        ledger_.lookup(now_, key, ask.repeat == PlayRequest::Repeat::here, firstSentAt);
-    if (known == ledger::LookupResult::played) return refuse(TerminateReason::ended);
+        ledger_.lookup(now_, key, request.repeat == PlayRequest::Repeat::here, firstSentAt);
+    if (known == ledger::LookupResult::played) return terminate(TerminateReason::ended);
     if (known == ledger::LookupResult::mayHaveRun) {
-      if (ledger_.doubtful(now_, firstSentAt)) ++statistics_.doubted;
-      return refuse(TerminateReason::mayHaveRun);
+      if (ledger_.mayHaveLostRecord(now_, firstSentAt)) ++statistics_.doubted;
+      return terminate(TerminateReason::mayHaveRun);
     }
-    // Directors share nothing: only the one that was asked first knows whether its join ran.
-    return ask.repeat == PlayRequest::Repeat::elsewhere && refuse(TerminateReason::elsewhere);
+    // Directors share no ledger: only the one that received the first request knows whether its join has run.
+    return request.repeat == PlayRequest::Repeat::elsewhere && terminate(TerminateReason::elsewhere);
   }
-  Request& request = *find(it->second);
+  Subscription& subscription = *findSubscription(it->second);
   ++statistics_.repeated;
-  request.lines.push_back({ask.callId});
-  lines_[ask.callId] = request.id;
-  if (request.orphanUntil != 0) {
-    deadlines_.erase({request.orphanUntil, request.id});
-    request.orphanUntil = 0;
+  subscription.calls.push_back({request.callId});
+  subscriptionByCall_[request.callId] = subscription.id;
+  if (subscription.orphanDeadline != 0) {
+    deadlines_.erase({subscription.orphanDeadline, subscription.id});
+    subscription.orphanDeadline = 0;
   }
-  if (request.out != nullptr && request.out->began) return answerPlaying(request), true;
-  // Nobody waited for the first join any more; from here on somebody does, and is owed an answer.
-  if (request.answered) {
-    request.answered = false;
+  if (subscription.attempt != nullptr && subscription.attempt->started)
+    return answerPlaying(subscription), true;
+  // No player was waiting for the join any more; this one is, and needs an answer.
+  if (subscription.answered) {
+    subscription.answered = false;
     ++statistics_.open;
-    deadlines_.emplace(request.deadline, request.id);
+    deadlines_.emplace(subscription.deadline, subscription.id);
   }
-  // It waits with the first, but no longer than its own client does.
-  hasten(request, now_ + ask.timeout - bounds_.answerMargin - waited_);
+  // The repeat shares the answer of the first request but must get it before its own client timeout.
+  shortenDeadline(subscription, now_ + request.timeout - limits_.answerMargin - stallTime_);
   return true;
 }
 
-// Its answer is due earlier than was said; its join is not waited for beyond that.
-void Front::hasten(Request& request, Micros deadline) {
-  if (deadline >= request.deadline) return;
-  deadlines_.erase({request.deadline, request.id});
-  request.deadline = deadline;
-  deadlines_.emplace(deadline, request.id);
-  if (JoinOut* out = request.out; out != nullptr && !out->began && deadline < out->until) {
-    timeouts_.erase({out->until, out->key});
-    out->until = deadline;
-    timeouts_.emplace(out->until, out->key);
+// Moves the answer to an earlier deadline, and the time-out of a join that has not started with it.
+void Front::shortenDeadline(Subscription& subscription, Micros deadline) {
+  if (deadline >= subscription.deadline) return;
+  deadlines_.erase({subscription.deadline, subscription.id});
+  subscription.deadline = deadline;
+  deadlines_.emplace(deadline, subscription.id);
+  if (JoinAttempt* attempt = subscription.attempt;
+      attempt != nullptr && !attempt->started && deadline < attempt->deadline) {
+    joinDeadlines_.erase({attempt->deadline, attempt->id});
+    attempt->deadline = deadline;
+    joinDeadlines_.emplace(attempt->deadline, attempt->id);
   }
 }
 
-void Front::take(CameLeave& came) {
-  const auto it = lines_.find(came.callId);
-  if (it == lines_.end()) return;
-  Request& request = *find(it->second);
-  lines_.erase(it);
-  std::erase_if(request.lines, [&](const LineOf& l) { return l.callId == came.callId; });
-  if (!request.lines.empty() || request.lapsed) return;
-  // A paid subscription whose player vanished goes on for a while, so that the same key finds it again.
-  // One that has not left yet may not begin for nobody: the same key asks anew.
-  if (came.closed && request.unsafe && request.out != nullptr && request.out->written &&
-      !request.ask.idempotencyKey.empty()) {
-    deadlines_.erase({request.deadline, request.id});
-    request.orphanUntil = now_ + bounds_.orphanTimeout;
-    deadlines_.emplace(request.orphanUntil, request.id);
-    return settle(request);
+void Front::process(InboundLeave& inbound) {
+  const auto it = subscriptionByCall_.find(inbound.callId);
+  if (it == subscriptionByCall_.end()) return;
+  Subscription& subscription = *findSubscription(it->second);
+  subscriptionByCall_.erase(it);
+  std::erase_if(subscription.calls, [&](const Call& call) { return call.id == inbound.callId; });
+  if (!subscription.calls.empty() || subscription.abandoned) return;
+  // An orphaned unsafe subscription is kept for a while, so that the player finds it again by its key. A join
+  // that has not been written is cancelled instead, so that it cannot start without a player; the same key
+  // then starts anew.
+  if (inbound.socketClosed && subscription.unsafe && subscription.attempt != nullptr &&
+      subscription.attempt->written && !subscription.request.idempotencyKey.empty()) {
+    deadlines_.erase({subscription.deadline, subscription.id});
+    subscription.orphanDeadline = now_ + limits_.orphanTimeout;
+    deadlines_.emplace(subscription.orphanDeadline, subscription.id);
+    return markAnswered(subscription);
   }
-  if (request.out != nullptr && request.out->began)
-    return finishJoin(*request.out, Outcome::cancelled, {}, true, true);
-  lapse(request);
-}
-
-void Front::lapse(Request& request) {
-  request.lapsed = true;
-  settle(request);
-  deadlines_.erase({request.deadline, request.id});
-  // Guards against a join for nobody. One that waits for its connection or a disk is given back, whether or
-  // not the settings allow to take back what has left. And where the last one ended in this same turn, the
-  // decider hears that nothing follows: it would place another, which nobody would ever end.
-  if (request.out != nullptr && !request.out->written)
-    return finishJoin(*request.out, Outcome::notSent, {}, true, true);
-  for (Event& event : events_)
-    if (auto* ended = std::get_if<JoinEnded>(&event); ended != nullptr && ended->sub == request.id)
+  if (subscription.attempt != nullptr && subscription.attempt->started)
+    return finishJoin(*subscription.attempt, Outcome::cancelled, {}, true, true);
+  abandon(subscription);
+}
+
+void Front::abandon(Subscription& subscription) {
+  subscription.abandoned = true;
+  markAnswered(subscription);
+  deadlines_.erase({subscription.deadline, subscription.id});
+  // Prevents joins without a player. A join that has not been written is withdrawn, even if the settings do
+  // not allow cancelling joins that have been written. If a join ended in this same turn, its event is marked
+  // as settled: otherwise the decider would place another join, which nothing would end.
+  if (subscription.attempt != nullptr && !subscription.attempt->written)
+    return finishJoin(*subscription.attempt, Outcome::notSent, {}, true, true);
+  for (Event& event : deciderEvents_)
+    if (auto* ended = std::get_if<JoinEnded>(&event); ended != nullptr && ended->sub == subscription.id)
       ended->settled = true;
-  events_.push_back(SubscriptionAbandoned{request.id});
-  if (request.out != nullptr) return;
-  forget(request.id);
+  deciderEvents_.push_back(SubscriptionAbandoned{subscription.id});
+  if (subscription.attempt != nullptr) return;
+  removeSubscription(subscription.id);
 }
 
-// ---- the list and the notes ----
+// ---- list updates and measurements ----
 
-void Front::take(CameEvent& came) {
-  if (const auto* list = std::get_if<ListUpdate>(&came.event)) {
+void Front::process(InboundControlEvent& inbound) {
+  if (const auto* list = std::get_if<ListUpdate>(&inbound.event)) {
     guards_.listUpdated(now_, *list);
-    // Guards against a join that is decided, waits for its connection, and would be written long after the
-    // word that its node drains: it is given back unwritten, and placed anew.
-    for (const auto& [key, out] : joins_)
-      if (!out->written && guards_.draining(out->node)) orders_->push_back(Withdraw{key});
+    // A join that still waits for its connection could be written long after its node began to drain. It is
+    // withdrawn unwritten, and the decider places it anew.
+    for (const auto& [id, attempt] : attempts_)
+      if (!attempt->written && guards_.isNotReady(attempt->node)) commands_->push_back(Withdraw{id});
   }
-  events_.push_back(std::move(came.event));
+  deciderEvents_.push_back(std::move(inbound.event));
 }
 
 // ---- joins ----
 
-void Front::take(CameBegan& came) {
-  JoinOut* out = findJoin(came.join);
-  if (out == nullptr || out->began) return;
-  Request& request = *out->request;
-  // It began, but too late to say so in time: the player is told as if the join had timed out.
-  if (!request.answered && now_ >= request.deadline + bounds_.answerMargin / 2) return timeOut(*out);
-  out->began = true;
+void Front::process(InboundJoinStart& inbound) {
+  JoinAttempt* attempt = findAttempt(inbound.join);
+  if (attempt == nullptr || attempt->started) return;
+  Subscription& subscription = *attempt->subscription;
+  // The join has started too late for an answer before the client timeout, so it counts as timed out.
+  if (!subscription.answered && now_ >= subscription.deadline + limits_.answerMargin / 2)
+    return timeOutJoin(*attempt);
+  attempt->started = true;
   ++statistics_.plays;
-  timeouts_.erase({out->until, out->key});
-  deadlines_.erase({request.deadline, request.id});
-  events_.push_back(JoinStarted{request.id, out->number});
-  if (request.unsafe) remember(request, ledger::RecordState::played);
-  if (request.lapsed) return finishJoin(*out, Outcome::cancelled, {}, true, true);
-  answerPlaying(request);
-}
-
-void Front::take(CameEnd& came) {
-  JoinOut* out = findJoin(came.join);
-  if (out == nullptr) return;
-  if (came.outcome == Outcome::notSent) ++statistics_.withdrawnJoins;
-  if (!out->began) return endBeforePlay(*out, came.outcome, came.report, false);
+  joinDeadlines_.erase({attempt->deadline, attempt->id});
+  deadlines_.erase({subscription.deadline, subscription.id});
+  deciderEvents_.push_back(JoinStarted{subscription.id, attempt->number});
+  if (subscription.unsafe) recordState(subscription, ledger::RecordState::played);
+  if (subscription.abandoned) return finishJoin(*attempt, Outcome::cancelled, {}, true, true);
+  answerPlaying(subscription);
+}
+
+void Front::process(InboundJoinEnd& inbound) {
+  JoinAttempt* attempt = findAttempt(inbound.join);
+  if (attempt == nullptr) return;
+  if (inbound.outcome == Outcome::notSent) ++statistics_.withdrawnJoins;
+  if (!attempt->started) return endUnstartedJoin(*attempt, inbound.outcome, inbound.report, false);
   ++statistics_.ended;
-  if (!came.finished) ++statistics_.nodeLost;
-  endLines(*out->request, came.finished ? EndReason::finished : EndReason::nodeLost,
-           came.finished ? 0 : retryAfterSchedule_.next());
-  finishJoin(*out, came.finished ? Outcome::ok : came.outcome, came.report, true, false);
+  if (!inbound.finished) ++statistics_.nodeLost;
+  notifyEnded(*attempt->subscription, inbound.finished ? EndReason::finished : EndReason::nodeLost,
+              inbound.finished ? 0 : retryAfterSchedule_.next());
+  finishJoin(*attempt, inbound.finished ? Outcome::ok : inbound.outcome, inbound.report, true, false);
 }
 
-// What has not been written never ran, however long it waited.
-void Front::timeOut(JoinOut& out) {
-  endBeforePlay(out, out.written ? Outcome::timeout : Outcome::connectFailed, {}, true);
+// A join that was never written cannot have run, however long it waited; connectFailed proves that.
+void Front::timeOutJoin(JoinAttempt& attempt) {
+  endUnstartedJoin(attempt, attempt.written ? Outcome::timeout : Outcome::connectFailed, {}, true);
 }
 
-void Front::endBeforePlay(JoinOut& out, Outcome outcome, const LoadReport& report, bool tellEdge) {
-  const Request& request = *out.request;
-  finishJoin(out, outcome, report, request.lapsed || request.lines.empty(), tellEdge);
+void Front::endUnstartedJoin(JoinAttempt& attempt, Outcome outcome, const LoadReport& report,
+                             bool sendTearDown) {
+  const Subscription& subscription = *attempt.subscription;
+  finishJoin(attempt, outcome, report, subscription.abandoned || subscription.calls.empty(), sendTearDown);
 }
 
-void Front::finishJoin(JoinOut& out, Outcome outcome, const LoadReport& report, bool settled, bool tellEdge) {
-  Request& request = *out.request;
-  const JoinId key = out.key;
-  // What has played has run, whatever its node says at the end.
-  if (out.began || !provesNothingRan(outcome)) request.mayHaveRun = true;
-  if (out.counted) guards_.ended(request.ask.title, request.ask.roomType);
-  const bool played = out.began;
+void Front::finishJoin(JoinAttempt& attempt, Outcome outcome, const LoadReport& report, bool settled,
+                       bool sendTearDown) {
+  Subscription& subscription = *attempt.subscription;
+  const JoinId id = attempt.id;
+  // A join that has started has run, whatever outcome the node reports at its end.
+  if (attempt.started || !provesNothingRan(outcome)) subscription.mayHaveRun = true;
+  if (attempt.countedByGuards) guards_.joinEnded(subscription.request.title, subscription.request.roomType);
+  const bool played = attempt.started;
   if (played) --statistics_.plays;
-  timeouts_.erase({out.until, key});
-  events_.push_back(JoinEnded{request.id, out.node, out.number, outcome, settled, report});
-  if (request.out == &out) request.out = nullptr;
-  joins_.erase(key);
-  if (tellEdge) orders_->push_back(TearDown{key});
-  // The record follows each end, not only the last: a director may be killed between two joins.
-  if (request.unsafe)
-    remember(request, played               ? ledger::RecordState::over
-                      : request.mayHaveRun ? ledger::RecordState::mayHaveRun
-                                           : ledger::RecordState::refused);
-  if (settled) forget(request.id);
-}
-
-void Front::act(const Action& action) {
+  joinDeadlines_.erase({attempt.deadline, id});
+  deciderEvents_.push_back(
+      JoinEnded{subscription.id, attempt.node, attempt.number, outcome, settled, report});
+  if (subscription.attempt == &attempt) subscription.attempt = nullptr;
+  attempts_.erase(id);
+  if (sendTearDown) commands_->push_back(TearDown{id});
+  // Recorded at the end of each join and not only of the last, because the process may be killed in between.
+  if (subscription.unsafe)
+    recordState(subscription, played                    ? ledger::RecordState::over
+                              : subscription.mayHaveRun ? ledger::RecordState::mayHaveRun
+                                                        : ledger::RecordState::refused);
+  if (settled) removeSubscription(subscription.id);
+}
+
+void Front::execute(const Action& action) {
   if (const auto* rung = std::get_if<SetRung>(&action)) {
-    Request* request = find(rung->sub);
-    if (request == nullptr) return;
-    const int floor = terms_.roomTypes[static_cast<std::size_t>(request->ask.roomType)].floor;
-    request->rung = rung->rung;
-    if (bounds_.guardsEnabled && request->rung < floor) trip(Rule::floor), request->rung = floor;
-    if (request->out == nullptr) return;
-    orders_->push_back(ChangeRung{request->out->key, request->rung});
-    if (!request->out->began) return;
+    Subscription* subscription = findSubscription(rung->sub);
+    if (subscription == nullptr) return;
+    const int floor = settings_.roomTypes[static_cast<std::size_t>(subscription->request.roomType)].floor;
+    subscription->rung = rung->rung;
+    if (limits_.guardsEnabled && subscription->rung < floor)
+      countViolation(Rule::floor), subscription->rung = floor;
+    if (subscription->attempt == nullptr) return;
+    commands_->push_back(ChangeRung{subscription->attempt->id, subscription->rung});
+    if (!subscription->attempt->started) return;
     ++statistics_.rungChanges;
-    for (const LineOf& callId : request->lines) orders_->push_back(RungChanged{callId.callId, request->rung});
-  } else if (const auto* go = std::get_if<Join>(&action)) {
-    if (Request* request = find(go->sub)) join(*request, go->node, go->timeout);
-  } else if (const auto* off = std::get_if<CancelJoin>(&action)) {
-    Request* request = find(off->sub);
-    if (request == nullptr || request->out == nullptr || request->out->began ||
-        request->out->number != off->join)
+    for (const Call& call : subscription->calls)
+      commands_->push_back(RungChanged{call.id, subscription->rung});
+  } else if (const auto* start = std::get_if<Join>(&action)) {
+    if (Subscription* subscription = findSubscription(start->sub))
+      startJoin(*subscription, start->node, start->timeout);
+  } else if (const auto* cancel = std::get_if<CancelJoin>(&action)) {
+    Subscription* subscription = findSubscription(cancel->sub);
+    if (subscription == nullptr || subscription->attempt == nullptr || subscription->attempt->started ||
+        subscription->attempt->number != cancel->join)
       return;
-    endBeforePlay(*request->out, request->out->written ? Outcome::cancelled : Outcome::connectFailed, {},
-                  true);
-  } else if (const auto* no = std::get_if<Throttle>(&action)) {
-    Request* request = find(no->sub);
-    if (request == nullptr || request->answered) return;
-    if (bounds_.guardsEnabled && request->unsafe && (request->mayHaveRun || request->out != nullptr)) {
-      trip(Rule::onceOnly);
-      answerTerminated(*request, TerminateReason::mayHaveRun);
+    endUnstartedJoin(*subscription->attempt,
+                     subscription->attempt->written ? Outcome::cancelled : Outcome::connectFailed, {}, true);
+  } else if (const auto* throttle = std::get_if<Throttle>(&action)) {
+    Subscription* subscription = findSubscription(throttle->sub);
+    if (subscription == nullptr || subscription->answered) return;
+    if (limits_.guardsEnabled && subscription->unsafe &&
+        (subscription->mayHaveRun || subscription->attempt != nullptr)) {
+      countViolation(Rule::onceOnly);
+      answerTerminated(*subscription, TerminateReason::mayHaveRun);
     } else {
-      answerThrottled(*request, no->retryAfter, ThrottleReason::noRoom);
+      answerThrottled(*subscription, throttle->retryAfter, ThrottleReason::noRoom);
     }
-    forget(no->sub);
-  } else if (const auto* end = std::get_if<Terminate>(&action)) {
-    Request* request = find(end->sub);
-    if (request == nullptr || request->answered) return;
-    const auto why = request->mayHaveRun ? TerminateReason::mayHaveRun : TerminateReason::failed;
-    answerTerminated(*request, why);
-    forget(end->sub);
-  } else if (const auto* alarm = std::get_if<SetTimer>(&action)) {
-    alarms_.emplace(now_ + alarm->span, alarm->key);
+    removeSubscription(throttle->sub);
+  } else if (const auto* terminate = std::get_if<Terminate>(&action)) {
+    Subscription* subscription = findSubscription(terminate->sub);
+    if (subscription == nullptr || subscription->answered) return;
+    const auto reason = subscription->mayHaveRun ? TerminateReason::mayHaveRun : TerminateReason::failed;
+    answerTerminated(*subscription, reason);
+    removeSubscription(terminate->sub);
+  } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
+    timers_.emplace(now_ + timer->span, timer->key);
   } else {
-    orders_->push_back(StartListWatch{});
+    commands_->push_back(StartListWatch{});
   }
 }
 
-void Front::join(Request& request, NodeId node, Micros patience) {
-  const int number = request.joins++;
-  const RoomType& room = terms_.roomTypes[static_cast<std::size_t>(request.ask.roomType)];
+void Front::startJoin(Subscription& subscription, NodeId node, Micros timeout) {
+  const int number = subscription.joinCount++;
+  const RoomType& room = settings_.roomTypes[static_cast<std::size_t>(subscription.request.roomType)];
   Rule rule = Rule::oneJoin;
-  bool allowed = !bounds_.guardsEnabled || request.out == nullptr;
-  if (allowed && bounds_.guardsEnabled && room.effect == Effect::once && request.mayHaveRun)
+  bool allowed = !limits_.guardsEnabled || subscription.attempt == nullptr;
+  if (allowed && limits_.guardsEnabled && room.effect == Effect::once && subscription.mayHaveRun)
     allowed = false, rule = Rule::onceOnly;
-  if (allowed && bounds_.guardsEnabled)
-    allowed = guards_.mayPlace(now_, request.ask.title, request.ask.roomType, node, number > 0, rule);
+  if (allowed && limits_.guardsEnabled)
+    allowed = guards_.mayPlace(now_, subscription.request.title, subscription.request.roomType, node,
+                               number > 0, rule);
   if (!allowed) {
-    trip(rule);
-    events_.push_back(JoinEnded{request.id, node, number, Outcome::notSent, false, {}});
+    countViolation(rule);
+    deciderEvents_.push_back(JoinEnded{subscription.id, node, number, Outcome::notSent, false, {}});
     return;
   }
   ++statistics_.joins;
   if (number > 0) ++statistics_.furtherJoins;
-  auto made = std::make_unique<JoinOut>();
-  JoinOut& out = *made;
-  out.key = ++nextJoin_;
-  out.request = &request;
-  out.node = node;
-  out.number = number;
-  out.counted = bounds_.guardsEnabled;
-  out.until = patience > 0 ? std::min(now_ + patience, request.deadline) : request.deadline;
-  timeouts_.emplace(out.until, out.key);
-  request.out = &out;
-  const SetUp order{out.key,
-                    request.id,
+  auto created = std::make_unique<JoinAttempt>();
+  JoinAttempt& attempt = *created;
+  attempt.id = ++lastJoinId_;
+  attempt.subscription = &subscription;
+  attempt.node = node;
+  attempt.number = number;
+  attempt.countedByGuards = limits_.guardsEnabled;
+  attempt.deadline = timeout > 0 ? std::min(now_ + timeout, subscription.deadline) : subscription.deadline;
+  joinDeadlines_.emplace(attempt.deadline, attempt.id);
+  subscription.attempt = &attempt;
+  const SetUp setUp{attempt.id,
+                    subscription.id,
                     node,
-                    request.ask.roomType,
-                    request.rung,
-                    request.ask.title,
-                    request.ask.viewer,
-                    request.ask.idempotencyKey,
-                    request.ask.callId,
-                    out.until};
-  if (request.unsafe && !request.ask.idempotencyKey.empty())
-    letGo(order, ledger_.recordIntent(now_, request.key));
+                    subscription.request.roomType,
+                    subscription.rung,
+                    subscription.request.title,
+                    subscription.request.viewer,
+                    subscription.request.idempotencyKey,
+                    subscription.request.callId,
+                    attempt.deadline};
+  if (subscription.unsafe && !subscription.request.idempotencyKey.empty())
+    sendOnceDurable(setUp, ledger_.recordIntent(now_, subscription.key));
   else
-    orders_->push_back(order);
-  joins_.emplace(out.key, std::move(made));
+    commands_->push_back(setUp);
+  attempts_.emplace(attempt.id, std::move(created));
 }
 
-// ---- answers: the only places from which a player hears one ----
+// ---- answers: no other function sends one, except for requests rejected on arrival ----
 
-void Front::settle(Request& request) {
-  if (request.answered) return;
-  request.answered = true;
+void Front::markAnswered(Subscription& subscription) {
+  if (subscription.answered) return;
+  subscription.answered = true;
   --statistics_.open;
 }
 
-void Front::answerPlaying(Request& request) {
-  settle(request);
-  for (LineOf& callId : request.lines) {
-    if (callId.answered) continue;
-    callId.answered = true;
+void Front::answerPlaying(Subscription& subscription) {
+  markAnswered(subscription);
+  for (Call& call : subscription.calls) {
+    if (call.answered) continue;
+    call.answered = true;
     ++statistics_.playing;
-    orders_->push_back(Playing{callId.callId, request.id, request.out->node, request.rung});
+    commands_->push_back(Playing{call.id, subscription.id, subscription.attempt->node, subscription.rung});
   }
 }
 
-void Front::answerThrottled(Request& request, Micros retryAfter, ThrottleReason why) {
-  settle(request);
-  for (LineOf& callId : request.lines) {
-    if (callId.answered) continue;
-    callId.answered = true;
+void Front::answerThrottled(Subscription& subscription, Micros retryAfter, ThrottleReason reason) {
+  markAnswered(subscription);
+  for (Call& call : subscription.calls) {
+    if (call.answered) continue;
+    call.answered = true;
     ++statistics_.throttled;
-    orders_->push_back(Throttled{callId.callId, retryAfter, why});
+    commands_->push_back(Throttled{call.id, retryAfter, reason});
   }
 }
 
-void Front::answerTerminated(Request& request, TerminateReason why) {
-  settle(request);
-  for (LineOf& callId : request.lines) {
-    if (callId.answered) continue;
-    callId.answered = true;
+void Front::answerTerminated(Subscription& subscription, TerminateReason reason) {
+  markAnswered(subscription);
+  for (Call& call : subscription.calls) {
+    if (call.answered) continue;
+    call.answered = true;
     ++statistics_.terminated;
-    orders_->push_back(Terminated{callId.callId, why});
+    commands_->push_back(Terminated{call.id, reason});
   }
 }
 
-void Front::endLines(Request& request, EndReason why, Micros retryAfter) {
-  for (const LineOf& callId : request.lines) orders_->push_back(Ended{callId.callId, why, retryAfter});
+void Front::notifyEnded(Subscription& subscription, EndReason reason, Micros retryAfter) {
+  for (const Call& call : subscription.calls) commands_->push_back(Ended{call.id, reason, retryAfter});
 }
 
-// Guards against any way in which an ask could be left without its answer: whatever the decider and the
-// edges do, an ask that is still open at its time is answered here. Also ends what nobody came back for.
-void Front::lateOnes() {
+// Answers every request that is still open at its deadline, so that none stays without an answer whatever the
+// decider and the transports do. Also ends orphaned subscriptions whose player has not returned.
+void Front::expireDeadlines() {
   while (!deadlines_.empty() && deadlines_.begin()->first <= now_) {
     const auto [at, sub] = *deadlines_.begin();
-    Request* request = find(sub);
-    if (request == nullptr) {
+    Subscription* subscription = findSubscription(sub);
+    if (subscription == nullptr) {
       deadlines_.erase(deadlines_.begin());
       continue;
     }
-    if (request->orphanUntil == at) {
+    if (subscription->orphanDeadline == at) {
       deadlines_.erase(deadlines_.begin());
-      if (request->out != nullptr && request->out->began)
-        finishJoin(*request->out, Outcome::cancelled, {}, true, true);
+      if (subscription->attempt != nullptr && subscription->attempt->started)
+        finishJoin(*subscription->attempt, Outcome::cancelled, {}, true, true);
       else
-        lapse(*request);
+        abandon(*subscription);
       continue;
     }
     deadlines_.erase(deadlines_.begin());
-    if (!bounds_.guardsEnabled || request->answered) continue;
-    if (request->deadline != answerBy_) trip(Rule::oneAnswer);
-    const bool unsure = request->mayHaveRun || request->out != nullptr;
-    if (request->unsafe && unsure)
-      answerTerminated(*request, TerminateReason::mayHaveRun);
+    if (!limits_.guardsEnabled || subscription->answered) continue;
+    if (subscription->deadline != answerDeadline_) countViolation(Rule::oneAnswer);
+    const bool mayRun = subscription->mayHaveRun || subscription->attempt != nullptr;
+    if (subscription->unsafe && mayRun)
+      answerTerminated(*subscription, TerminateReason::mayHaveRun);
     else
-      answerThrottled(*request, retryAfterSchedule_.next(), ThrottleReason::late);
-    if (request->out != nullptr)
-      finishJoin(*request->out, request->out->written ? Outcome::timeout : Outcome::connectFailed, {}, true,
-                 true);
+      answerThrottled(*subscription, retryAfterSchedule_.next(), ThrottleReason::late);
+    if (subscription->attempt != nullptr)
+      finishJoin(*subscription->attempt,
+                 subscription->attempt->written ? Outcome::timeout : Outcome::connectFailed, {}, true, true);
     else
-      lapse(*request);
+      abandon(*subscription);
   }
 }
 
-void Front::endEverything() {
-  ending_ = false;
-  while (!requests_.empty()) {
-    Request& request = *requests_.begin()->second;
-    const bool plays = request.out != nullptr && request.out->began;
-    if (plays)
-      endLines(request, EndReason::directorDrains, retryAfterSchedule_.next());
-    else if (request.unsafe && (request.mayHaveRun || (request.out != nullptr && request.out->written)))
-      answerTerminated(request, TerminateReason::mayHaveRun);
+void Front::endAllSubscriptions() {
+  endAllRequested_ = false;
+  while (!subscriptions_.empty()) {
+    Subscription& subscription = *subscriptions_.begin()->second;
+    const bool playing = subscription.attempt != nullptr && subscription.attempt->started;
+    if (playing)
+      notifyEnded(subscription, EndReason::directorDrains, retryAfterSchedule_.next());
+    else if (subscription.unsafe &&
+             (subscription.mayHaveRun || (subscription.attempt != nullptr && subscription.attempt->written)))
+      answerTerminated(subscription, TerminateReason::mayHaveRun);
     else
-      answerThrottled(request, retryAfterSchedule_.next(), ThrottleReason::draining);
-    if (request.out != nullptr)
-      finishJoin(*request.out, Outcome::cancelled, {}, true, true);
+      answerThrottled(subscription, retryAfterSchedule_.next(), ThrottleReason::draining);
+    if (subscription.attempt != nullptr)
+      finishJoin(*subscription.attempt, Outcome::cancelled, {}, true, true);
     else
-      lapse(request);
+      abandon(subscription);
   }
 }
 
-// ---- what is kept ----
+// ---- records and lookup ----
 
-void Front::remember(const Request& request, ledger::RecordState mark) {
-  if (!request.ask.idempotencyKey.empty()) ledger_.mark(now_, request.key, mark);
+void Front::recordState(const Subscription& subscription, ledger::RecordState state) {
+  if (!subscription.request.idempotencyKey.empty()) ledger_.updateState(now_, subscription.key, state);
 }
 
-// Guards against a second charge after a kill: a paid join leaves only once its intent is on disk, so that
-// the next run of this director knows of it. Until then it has not been written and its end proves nothing
-// ran.
-void Front::letGo(const SetUp& order, ledger::Seq seq) {
+// Sends an unsafe join only once its write-ahead intent is on disk, so that the next process knows of it if
+// this one is killed; otherwise a repeat could be charged twice. Until it is sent the join counts as not
+// written, so its end proves that nothing has run.
+void Front::sendOnceDurable(const SetUp& setUp, ledger::Seq seq) {
   if (ledger_.isDurable(seq))
-    orders_->push_back(order);
+    commands_->push_back(setUp);
   else
-    unrecorded_.emplace_back(seq, order);
-}
-
-// Guards against asks that wait for a disk which takes nothing any more: none of these joins has left, so
-// each is told now when to come back, and not at its deadline.
-void Front::giveUpUnrecorded() {
-  const auto waiting = std::exchange(unrecorded_, {});
-  for (const auto& [seq, order] : waiting) {
-    JoinOut* out = findJoin(order.join);
-    if (out == nullptr) continue;
-    Request& request = *out->request;
-    if (!request.answered && request.mayHaveRun)
-      answerTerminated(request, TerminateReason::mayHaveRun);
-    else if (!request.answered)
-      answerThrottled(request, retryAfterSchedule_.next(), ThrottleReason::busy);
-    // Not the node's fault, and not to be held against it.
-    finishJoin(*out, Outcome::notSent, {}, true, false);
+    unrecordedJoins_.emplace_back(seq, setUp);
+}
+
+// After a store failure the intents of waiting joins never become durable. None of these joins has been sent,
+// so their requests are answered now instead of at their deadlines.
+void Front::cancelUnrecordedJoins() {
+  const auto unrecordedJoins = std::exchange(unrecordedJoins_, {});
+  for (const auto& [seq, setUp] : unrecordedJoins) {
+    JoinAttempt* attempt = findAttempt(setUp.join);
+    if (attempt == nullptr) continue;
+    Subscription& subscription = *attempt->subscription;
+    if (!subscription.answered && subscription.mayHaveRun)
+      answerTerminated(subscription, TerminateReason::mayHaveRun);
+    else if (!subscription.answered)
+      answerThrottled(subscription, retryAfterSchedule_.next(), ThrottleReason::busy);
+    // Outcome::notSent, because the node is not to blame.
+    finishJoin(*attempt, Outcome::notSent, {}, true, false);
   }
 }
 
-void Front::durable(ledger::Seq seq) { ledger_.durable(seq); }
+void Front::durable(ledger::Seq seq) { ledger_.markDurable(seq); }
 
-void Front::forget(SubscriptionId sub) {
-  const auto it = requests_.find(sub);
-  if (it == requests_.end()) return;
-  Request& request = *it->second;
-  settle(request);
-  for (const LineOf& callId : request.lines) lines_.erase(callId.callId);
-  deadlines_.erase({request.deadline, sub});
-  if (request.orphanUntil != 0) deadlines_.erase({request.orphanUntil, sub});
-  if (const auto key = byKey_.find(request.key); request.unsafe && key != byKey_.end() && key->second == sub)
-    byKey_.erase(key);
-  // Only an unguarded build leaves a second join behind: nobody waits for it.
-  if (!bounds_.guardsEnabled)
-    std::erase_if(joins_, [&](const auto& out) { return out.second->request == &request; });
-  requests_.erase(it);
+void Front::removeSubscription(SubscriptionId sub) {
+  const auto it = subscriptions_.find(sub);
+  if (it == subscriptions_.end()) return;
+  Subscription& subscription = *it->second;
+  markAnswered(subscription);
+  for (const Call& call : subscription.calls) subscriptionByCall_.erase(call.id);
+  deadlines_.erase({subscription.deadline, sub});
+  if (subscription.orphanDeadline != 0) deadlines_.erase({subscription.orphanDeadline, sub});
+  if (const auto key = subscriptionByKey_.find(subscription.key);
+      subscription.unsafe && key != subscriptionByKey_.end() && key->second == sub)
+    subscriptionByKey_.erase(key);
+  // Without guards a subscription may have a second join, which must not outlive it.
+  if (!limits_.guardsEnabled)
+    std::erase_if(attempts_, [&](const auto& entry) { return entry.second->subscription == &subscription; });
+  subscriptions_.erase(it);
 }
 
-Front::Request* Front::find(SubscriptionId sub) {
-  const auto it = requests_.find(sub);
-  return it == requests_.end() ? nullptr : it->second.get();
+Front::Subscription* Front::findSubscription(SubscriptionId sub) {
+  const auto it = subscriptions_.find(sub);
+  return it == subscriptions_.end() ? nullptr : it->second.get();
 }
-Front::JoinOut* Front::findJoin(JoinId key) {
-  const auto it = joins_.find(key);
-  return it == joins_.end() ? nullptr : it->second.get();
+Front::JoinAttempt* Front::findAttempt(JoinId join) {
+  const auto it = attempts_.find(join);
+  return it == attempts_.end() ? nullptr : it->second.get();
 }
 
 Statistics Front::statistics() const {
@@ -685,9 +708,9 @@
 
 std::vector<Front::NodeStatus> Front::nodeStatuses() const {
   std::map<NodeId, NodeStatus> nodes;
-  for (const auto& [key, out] : joins_) {
-    NodeStatus& node = nodes.try_emplace(out->node, NodeStatus{out->node, 0, 0}).first->second;
-    ++(out->began ? node.plays : node.waiting);
+  for (const auto& [id, attempt] : attempts_) {
+    NodeStatus& node = nodes.try_emplace(attempt->node, NodeStatus{attempt->node, 0, 0}).first->second;
+    ++(attempt->started ? node.plays : node.waiting);
   }
   std::vector<NodeStatus> rows;
   for (const auto& [id, node] : nodes) rows.push_back(node);
--- a/src/session/front.h
+++ b/src/session/front.h
@@ -1,10 +1,16 @@
-// The life of every request of one director, from the ask to its one answer and on to the end of what plays.
-// No socket, no clock, no log: edges say what came in and hand over the time, and carry out the orders that
-// come back. Whatever is decided about placing goes through the Decider; every answer to a player and every
-// join to a media node leaves through this class, which keeps the six rules on both.
+// The session core of a director: tracks every play request from its arrival to its one answer, and every
+// subscription until it ends.
 //
-// Times are whole microseconds on one clock that never runs back. Nothing throws; an event for something
-// that has ended is passed over, since edges may be late. Source: operators' brief, docs/design/director.md.
+// A request is called unsafe if its room type has an effect other than `repeatable`: setting it up twice does
+// harm, for example by charging the viewer twice. Unsafe requests are deduplicated by their idempotency key.
+//
+// The core has no sockets, no clock and no log. The transports report what came in, call processTurn() with
+// the current time and carry out the commands that it returns. All placement decisions are made by the
+// Decider; all answers to players and all joins to media nodes are issued here, so the rules of guards.h hold
+// for both.
+//
+// Times are whole microseconds on one monotonic clock. Nothing throws. Events for a call, join or
+// subscription that has ended are ignored, because transports may report them late.
 #pragma once
 
 #include <array>
@@ -25,53 +31,78 @@
 
 namespace lupinsill::session {
 
-using CallId = std::uint64_t;  // one ask on one player's socket; named by the edge, never used again
-using JoinId = std::uint64_t;  // one join, named by the front, never used again
+// One play request on one player's socket. Assigned by the transport and never reused.
+using CallId = std::uint64_t;
+// One join. Assigned by the front and never reused.
+using JoinId = std::uint64_t;
 
-// What a player asks for. `idempotencyKey` names the ask: the same key again is the same ask (the answer to
-// the first may have been lost), not another subscription. `viewer` names who watches.
+// A player's request for a subscription.
 struct PlayRequest {
   CallId callId = 0;
+  // A request with the key of an earlier one is a repeat of it, for example because the first answer was
+  // lost, and does not create another subscription if it is unsafe. Empty: the request has no key.
   std::string idempotencyKey;
   std::string viewer;
   std::string title;
   int roomType = 0;
   int party = -1;
   int firstCell = 0;
-  int holders = 0;  // 0: nothing holds it
+  int holders = 0;  // media nodes that hold the title; 0: unknown title
   int top = 0;
-  Micros timeout = 0;  // the client timeout, from when the ask was sent
-  // Whether the player says that this key was sent before: to this director, or to another, which alone knows
-  // what became of it.
+  Micros timeout = 0;  // the client timeout, counted from when the request was sent
+  // Whether the player says that it has sent this key before, and if so whether to this director or to
+  // another. Directors share no ledger, so only the director that got the first request knows its outcome.
   enum class Repeat { no, here, elsewhere } repeat = Repeat::no;
   std::optional<Micros> length;
-  std::optional<Micros> sinceFirstSent = std::nullopt;  // how long before this ask its key was first sent
+  std::optional<Micros> sinceFirstSent = std::nullopt;  // time from the first send of the key to this request
 };
 
-// How the front is bounded, apart from the terms that the decider reads.
+// Limits of the front itself; the limits that the decider applies are in ControlSettings.
 struct Limits {
-  Micros grace = 0;           // rule 3
-  Micros answerMargin = 0;    // answers leave so long before the client timeout
-  Micros stallThreshold = 0;  // a gap between turns above it: asks may have waited in the socket so long
-  Micros orphanTimeout = 0;   // an unsafe subscription whose player is gone waits so long for its return
-  Micros keyRetention = 0;    // how long the key of an unsafe ask is remembered after its end
-  std::size_t maxOpen = 0;    // asks not answered yet
-  std::size_t maxKeys = 0;    // keys remembered
-  bool keysStored = false;    // a store stands behind the ledger: intents wait for it
-  std::size_t maxSubscriptions = 0;  // subscriptions held in all
-  bool guardsEnabled = true;         // off only where the lab plants a fault behind the guards
-  // Asks with less time left than this are throttled unheard; 0 leaves that to the decider alone.
+  Micros grace = 0;           // joins may still go to a node this long after it was reported draining or gone
+  Micros answerMargin = 0;    // answers leave this long before the client timeout
+  Micros stallThreshold = 0;  // after a longer gap between turns, requests are assumed to have waited as long
+  Micros orphanTimeout = 0;   // an unsafe subscription whose player has disconnected is kept for this long
+  Micros keyRetention = 0;    // how long the ledger keeps the key of an unsafe request after its last update
+  std::size_t maxOpen = 0;    // requests that are not answered yet
+  std::size_t maxKeys = 0;    // keys in the ledger
+  bool keysStored = false;    // the ledger has a store, so a join waits until its intent is on disk
+  std::size_t maxSubscriptions = 0;  // subscriptions held, whether they wait or play
+  // False only in lab runs that check whether faults of the decider are detected when no guard stops them.
+  bool guardsEnabled = true;
+  // Requests with less time left are throttled without asking the decider; 0 leaves this to the decider.
   Micros minTimeLeft = 60'000;
 };
 
-enum class ThrottleReason { noRoom, busy, late, draining, unknownTitle };
-enum class TerminateReason { mayHaveRun, ended, failed, elsewhere };
-enum class EndReason { finished, nodeLost, directorDrains };
-const char* nameOf(ThrottleReason why);
-const char* nameOf(TerminateReason why);
-const char* nameOf(EndReason why);
+// Why a request was throttled; the player may send it again.
+enum class ThrottleReason {
+  noRoom,        // the decider found no place
+  busy,          // a limit of the front is reached, or the store has failed
+  late,          // too little time is left, or its deadline has passed
+  draining,      // the director drains or shuts down
+  unknownTitle,  // no media node holds the title
+};
+// Why a request was terminated; sending it again is pointless or unsafe.
+enum class TerminateReason {
+  mayHaveRun,  // a join of its key may have run
+  ended,       // the subscription of its key played and has ended
+  failed,      // the request is invalid, or the decider ended it
+  elsewhere,   // another director received the key before, and this one cannot know the outcome
+};
+// Why a playing subscription ended.
+enum class EndReason {
+  finished,        // it reached its regular end
+  nodeLost,        // the media node or the connection to it failed
+  directorDrains,  // the director shuts down
+};
+// The names of the reasons in messages to players.
+const char* nameOf(ThrottleReason reason);
+const char* nameOf(TerminateReason reason);
+const char* nameOf(EndReason reason);
 
-// Orders to the players' edge: an ask gets exactly one of the first three.
+// Commands to the player transport. Each request gets exactly one of Playing, Throttled and Terminated,
+// unless its player leaves before. RungChanged and Ended follow only after Playing or for an adopted
+// subscription.
 struct Playing {
   CallId callId;
   SubscriptionId sub;
@@ -94,9 +125,12 @@
 struct Ended {
   CallId callId;
   EndReason reason;
-  Micros retryAfter;
+  Micros retryAfter;  // 0: no advice
 };
-// Orders to the media edge.
+
+// Commands to the media transport.
+
+// Send a join to a media node.
 struct SetUp {
   JoinId join;
   SubscriptionId sub;
@@ -105,9 +139,9 @@
   int rung;
   std::string title;
   std::string viewer;
-  std::string idempotencyKey;  // the same over all joins of one ask: a node may know a repeat by it
-  CallId callId;               // of the first that asked
-  Micros until;                // the join is given up on then
+  std::string idempotencyKey;  // the same for all joins of a subscription, so that a node can detect a repeat
+  CallId callId;               // of the request that created the subscription
+  Micros until;                // when the join times out
 };
 struct ChangeRung {
   JoinId join;
@@ -116,187 +150,219 @@
 struct TearDown {
   JoinId join;
 };
-// Give back a join that has not been written yet, as ended with Outcome::notSent; pass over one that has.
+// Return a join that has not been written yet, as ended with Outcome::notSent; ignore one that has been
+// written.
 struct Withdraw {
   JoinId join;
 };
+// Watch the node list for changes.
 struct StartListWatch {};
 
 using Command = std::variant<Playing, Throttled, Terminated, RungChanged, Ended, SetUp, ChangeRung, TearDown,
                              Withdraw, StartListWatch>;
 
-// Counters that only grow, but for the last three.
+// Counters since start, except for the last three members, which are current values.
 struct Statistics {
-  std::uint64_t asks = 0, playing = 0, throttled = 0, terminated = 0, joins = 0, furtherJoins = 0;
-  std::uint64_t repeated = 0;  // asks answered from an earlier one of the same key
-  std::uint64_t doubted = 0;   // repeats answered for what a lost record may have said
-  std::uint64_t late = 0;      // asks too old when they were read
-  std::uint64_t stalls = 0;
-  std::uint64_t withdrawnJoins = 0;  // joins withdrawn before they were written
-  std::uint64_t ended = 0, nodeLost = 0, rungChanges = 0;
-  std::array<std::uint64_t, ruleCount> held{};  // by a guard, by rule
-  std::size_t open = 0, plays = 0, keys = 0;
+  std::uint64_t asks = 0;            // requests received
+  std::uint64_t playing = 0;         // answers by kind
+  std::uint64_t throttled = 0;       // likewise
+  std::uint64_t terminated = 0;      // likewise
+  std::uint64_t joins = 0;           // joins placed
+  std::uint64_t furtherJoins = 0;    // those of them that were not the first of their subscription
+  std::uint64_t repeated = 0;        // requests answered from an earlier request with the same key
+  std::uint64_t doubted = 0;         // repeats terminated because the record of their key may have been lost
+  std::uint64_t late = 0;            // requests throttled on arrival because too little time was left
+  std::uint64_t stalls = 0;          // gaps between turns above Limits::stallThreshold
+  std::uint64_t withdrawnJoins = 0;  // joins returned by the transport before they were written
+  std::uint64_t ended = 0;           // playing subscriptions that ended at their media node
+  std::uint64_t nodeLost = 0;        // those of them that did not reach their regular end
+  std::uint64_t rungChanges = 0;     // while playing
+  std::array<std::uint64_t, ruleCount> held{};  // guard violations by rule
+  std::size_t open = 0;                         // subscriptions that wait for their answer
+  std::size_t plays = 0;                        // subscriptions that play
+  std::size_t keys = 0;                         // keys in the ledger
 };
 
+// The state machine of one director. Single-threaded: one turn at a time, driven by the owner.
 class Front {
  public:
-  Front(ControlSettings terms, Limits bounds, std::unique_ptr<Decider> decider);
+  Front(ControlSettings settings, Limits limits, std::unique_ptr<Decider> decider);
+
+  // Inbound events; unless noted otherwise they take effect at the next turn, in the order of these calls.
 
-  // What came in since the last turn, in the order in which it arrived.
-  void submit(PlayRequest ask);
-  // A subscription that was playing at `node` before this run began: it is owed no answer, only its end.
-  JoinId adopt(PlayRequest ask, NodeId node);
-  void leave(CallId callId);   // the player said that it leaves
-  void closed(CallId callId);  // its socket closed; it may come back with the same key
-  // The media edge asks as it is about to write a join; once told true it has left, and may run. False: it is
-  // to be given back as ended with Outcome::notSent.
+  void submit(PlayRequest request);
+  // Takes over a subscription that was already playing at `node` when this process started. Its player gets
+  // no answer, only the notice of its end.
+  JoinId adopt(PlayRequest request, NodeId node);
+  void leave(CallId callId);   // the player has asked to leave
+  void closed(CallId callId);  // the player's socket has closed; the player may return with the same key
+  // To be called by the media transport immediately before it writes a join; takes effect at once. If true,
+  // the transport must write the join, which counts as possibly run from then on. If false, the transport
+  // must not write it and must report it as ended with Outcome::notSent.
   bool mayWrite(Micros now, JoinId join);
   void joinStarted(JoinId join);
+  // `finished`: a join that was playing has reached its regular end.
   void joinEnded(JoinId join, Outcome outcome, const LoadReport& report, bool finished = false);
-  void measured(JoinId join, MeasurementKind reading, double value);
-  void listUpdated(ListUpdate told);
-  // What the ledger found at start, and how far its store has come since. See ledger/ledger.h.
-  void recover(Micros now, const std::vector<ledger::Record>& records, bool whole) {
-    ledger_.recover(now, records, whole);
+  void measured(JoinId join, MeasurementKind kind, double value);
+  void listUpdated(ListUpdate update);
+  // Loads the records found in the store at start; `complete` is false if the store was missing or damaged.
+  // See Ledger::recover().
+  void recover(Micros now, const std::vector<ledger::Record>& records, bool complete) {
+    ledger_.recover(now, records, complete);
   }
+  // The store has written everything up to this sequence number.
   void durable(ledger::Seq seq);
-  // The store takes no more: unsafe asks are refused from here on, since a join of theirs would leave no
-  // trace.
+  // The store cannot write any more. Unsafe requests are throttled from now on, because their joins would
+  // leave no record.
   void storeFailed() { storeFailed_ = true; }
+  // Ledger changes that the store has to write.
   std::vector<ledger::Write> takeWrites() { return ledger_.takeWrites(); }
-  void drain(bool on);  // throttles new asks; what plays goes on
-  // A director that is going: whatever is asked, before or after this, has its answer by then.
-  void setAnswerDeadline(Micros at);
-  void endAll();  // tells every player that the director goes, and tears everything down
+  // Throttles new requests while on; subscriptions that play continue.
+  void drain(bool on);
+  // Sets a deadline by which every request, present and future, is answered. For a director that shuts down.
+  void setAnswerDeadline(Micros deadline);
+  // Ends all subscriptions at the next turn and tells their players that the director shuts down.
+  void endAll();
 
-  // Decides on all of that at once and appends what is to be done, in order.
-  void processTurn(Micros now, std::vector<Command>& orders);
+  // Processes all inbound events and expired deadlines, and appends the resulting commands in order.
+  void processTurn(Micros now, std::vector<Command>& commands);
 
-  // When the next turn is due though nothing comes in.
+  // When the next turn is due if nothing comes in before.
   Micros due() const;
   Statistics statistics() const;
   bool draining() const { return draining_; }
 
-  struct NodeStatus {  // of a node, for operators
+  // Number of joins at a media node that wait to start, and of those that play; for operators.
+  struct NodeStatus {
     NodeId node;
     std::size_t waiting, plays;
   };
   std::vector<NodeStatus> nodeStatuses() const;
 
  private:
-  struct Request;
-  struct JoinOut {
-    JoinId key = 0;
-    Request* request = nullptr;
+  struct Subscription;
+  // One join of a subscription to a media node, from the decision to its end.
+  struct JoinAttempt {
+    JoinId id = 0;
+    Subscription* subscription = nullptr;
     NodeId node = 0;
-    int number = 0;
+    int number = 0;  // among the joins of the subscription, from 0
     bool written = false;
-    bool began = false;
-    bool counted = false;  // by the guards
-    Micros until = 0;
+    bool started = false;          // the node has confirmed that it plays
+    bool countedByGuards = false;  // holds a seat in the guards
+    Micros deadline = 0;
   };
-  struct LineOf {
-    CallId callId = 0;
+  // One request that waits for the subscription or watches it.
+  struct Call {
+    CallId id = 0;
     bool answered = false;
   };
-  struct Request {
+  // A subscription, waiting or playing, with all requests that share its idempotency key.
+  struct Subscription {
     SubscriptionId id = 0;
-    PlayRequest ask;
-    Micros deadline = 0;
-    std::vector<LineOf> lines;
+    PlayRequest request;  // the first one
+    Micros deadline = 0;  // of the answer
+    std::vector<Call> calls;
     bool unsafe = false;
-    bool answered = false;    // the one answer has been decided
-    bool mayHaveRun = false;  // of joins that have ended
-    ledger::Digest key;       // of an unsafe ask
-    bool lapsed = false;      // the decider was told that nobody waits
-    int joins = 0;
+    bool answered = false;    // the answer has been decided, or no player waits for it
+    bool mayHaveRun = false;  // a join that has ended may have run; always true if adopted
+    ledger::Digest key;       // set only if unsafe and the request has a key
+    bool abandoned = false;   // no player waits any more
+    int joinCount = 0;
     int rung = 0;
-    JoinOut* out = nullptr;
-    Micros orphanUntil = 0;
+    JoinAttempt* attempt = nullptr;  // the current join
+    Micros orphanDeadline = 0;       // 0: not orphaned
   };
-  struct CameAsk {
-    PlayRequest ask;
+
+  // Inbound events as they wait for the next turn.
+  struct InboundRequest {
+    PlayRequest request;
   };
-  struct CameAdopted {
-    PlayRequest ask;
+  struct InboundAdoption {
+    PlayRequest request;
     NodeId node;
-    JoinId key;
+    JoinId join;
   };
-  struct CameLeave {
+  struct InboundLeave {
     CallId callId;
-    bool closed;
+    bool socketClosed;
   };
-  struct CameEvent {
+  struct InboundControlEvent {  // passed on to the decider
     Event event;
   };
-  struct CameEnd {
+  struct InboundJoinEnd {
     JoinId join;
     Outcome outcome;
     LoadReport report;
     bool finished;
   };
-  struct CameBegan {
+  struct InboundJoinStart {
     JoinId join;
   };
-  using Came = std::variant<CameAsk, CameAdopted, CameLeave, CameEvent, CameEnd, CameBegan>;
+  using InboundEvent = std::variant<InboundRequest, InboundAdoption, InboundLeave, InboundControlEvent,
+                                    InboundJoinEnd, InboundJoinStart>;
 
-  void take(CameAsk& came);
-  void take(CameAdopted& came);
-  void take(CameLeave& came);
-  void take(CameEvent& came);
-  void take(CameEnd& came);
-  void take(CameBegan& came);
-  bool repeated(const PlayRequest& ask);
-  SubscriptionInfo viewingOf(const Request& request) const;
-  void act(const Action& action);
-  void join(Request& request, NodeId node, Micros patience);
-  void endBeforePlay(JoinOut& out, Outcome outcome, const LoadReport& report, bool tellEdge);
-  void finishJoin(JoinOut& out, Outcome outcome, const LoadReport& report, bool settled, bool tellEdge);
-  void timeOut(JoinOut& out);
-  void hasten(Request& request, Micros deadline);
-  void settle(Request& request);
-  void lapse(Request& request);
-  void endEverything();
-  void answerPlaying(Request& request);
-  void answerThrottled(Request& request, Micros retryAfter, ThrottleReason why);
-  void answerTerminated(Request& request, TerminateReason why);
-  void endLines(Request& request, EndReason why, Micros retryAfter);
-  void remember(const Request& request, ledger::RecordState mark);
-  void letGo(const SetUp& order, ledger::Seq seq);
-  void giveUpUnrecorded();
-  void forget(SubscriptionId sub);
-  void lateOnes();
-  Request* find(SubscriptionId sub);
-  JoinOut* findJoin(JoinId key);
-  static ledger::Digest keyOf(const PlayRequest& ask);
-  void trip(Rule rule) { ++statistics_.held[static_cast<std::size_t>(rule)]; }
+  void process(InboundRequest& inbound);
+  void process(InboundAdoption& inbound);
+  void process(InboundLeave& inbound);
+  void process(InboundControlEvent& inbound);
+  void process(InboundJoinEnd& inbound);
+  void process(InboundJoinStart& inbound);
+  // Handles the request if its key is known; returns false if it is to be treated as a new request.
+  bool handleRepeat(const PlayRequest& request);
+  SubscriptionInfo infoOf(const Subscription& subscription) const;
+  void execute(const Action& action);
+  void startJoin(Subscription& subscription, NodeId node, Micros timeout);
+  void endUnstartedJoin(JoinAttempt& attempt, Outcome outcome, const LoadReport& report, bool sendTearDown);
+  // Removes the join and tells the decider. `settled`: no further join may follow, and the subscription is
+  // removed with it.
+  void finishJoin(JoinAttempt& attempt, Outcome outcome, const LoadReport& report, bool settled,
+                  bool sendTearDown);
+  void timeOutJoin(JoinAttempt& attempt);
+  void shortenDeadline(Subscription& subscription, Micros deadline);
+  void markAnswered(Subscription& subscription);
+  void abandon(Subscription& subscription);
+  void endAllSubscriptions();
+  void answerPlaying(Subscription& subscription);
+  void answerThrottled(Subscription& subscription, Micros retryAfter, ThrottleReason reason);
+  void answerTerminated(Subscription& subscription, TerminateReason reason);
+  void notifyEnded(Subscription& subscription, EndReason reason, Micros retryAfter);
+  void recordState(const Subscription& subscription, ledger::RecordState state);
+  void sendOnceDurable(const SetUp& setUp, ledger::Seq seq);
+  void cancelUnrecordedJoins();
+  void removeSubscription(SubscriptionId sub);
+  void expireDeadlines();
+  Subscription* findSubscription(SubscriptionId sub);
+  JoinAttempt* findAttempt(JoinId join);
+  static ledger::Digest digestOfKey(const PlayRequest& request);
+  void countViolation(Rule rule) { ++statistics_.held[static_cast<std::size_t>(rule)]; }
 
-  ControlSettings terms_;
-  Limits bounds_;
+  ControlSettings settings_;
+  Limits limits_;
   std::unique_ptr<Decider> decider_;
   Guards guards_;
   Micros now_ = 0;
   Micros lastTurn_ = 0;
-  Micros waited_ = 0;  // how long the asks of this turn may have lain in the socket
+  Micros stallTime_ = 0;  // how long the requests of this turn may have waited in their sockets
   bool draining_ = false;
-  bool ending_ = false;
-  Micros answerBy_ = 0;  // 0: at each ask's own time
-  SubscriptionId nextSub_ = 0;
-  JoinId nextJoin_ = 0;
-  std::vector<Came> came_;
-  std::vector<Event> events_;
-  std::vector<Command>* orders_ = nullptr;
-  std::map<SubscriptionId, std::unique_ptr<Request>> requests_;
-  std::map<JoinId, std::unique_ptr<JoinOut>> joins_;
-  std::map<CallId, SubscriptionId> lines_;
-  std::map<ledger::Digest, SubscriptionId> byKey_;
+  bool endAllRequested_ = false;
+  Micros answerDeadline_ = 0;  // 0: none, each request has its own deadline only
+  SubscriptionId lastSubscriptionId_ = 0;
+  JoinId lastJoinId_ = 0;
+  std::vector<InboundEvent> inboundEvents_;
+  std::vector<Event> deciderEvents_;          // for the next call of the decider
+  std::vector<Command>* commands_ = nullptr;  // of the current turn
+  std::map<SubscriptionId, std::unique_ptr<Subscription>> subscriptions_;
+  std::map<JoinId, std::unique_ptr<JoinAttempt>> attempts_;
+  std::map<CallId, SubscriptionId> subscriptionByCall_;
+  std::map<ledger::Digest, SubscriptionId> subscriptionByKey_;
   ledger::Ledger ledger_;
   RetryAfterSchedule retryAfterSchedule_;
-  std::deque<std::pair<ledger::Seq, SetUp>> unrecorded_;  // joins whose intent is not on disk yet
+  std::deque<std::pair<ledger::Seq, SetUp>> unrecordedJoins_;  // their intent is not on disk yet
   bool storeFailed_ = false;
-  std::set<std::pair<Micros, SubscriptionId>> deadlines_;  // of asks, and of subscriptions without a player
-  std::set<std::pair<Micros, JoinId>> timeouts_;
-  std::multimap<Micros, std::int64_t> alarms_;
+  std::set<std::pair<Micros, SubscriptionId>> deadlines_;  // of answers and of orphaned subscriptions
+  std::set<std::pair<Micros, JoinId>> joinDeadlines_;
+  std::multimap<Micros, std::int64_t> timers_;  // set by the decider: when they fire, and their keys
   Statistics statistics_;
 };
 
--- a/src/session/guards.h
+++ b/src/session/guards.h
@@ -1,7 +1,10 @@
-// The rules on joins, checked once more between the decision and the socket. A guard never chooses: it lets a
-// join out or holds it back, and what it holds back never ran, so the decider may choose again. On a sound
-// build no guard ever trips; each trip is counted by its rule and shown to operators.
-// Times are whole microseconds on the caller's clock. Source: the six rules of the operators' brief.
+// Safety rules on joins, checked between the decision and the socket.
+//
+// A guard only allows or rejects a join; it never chooses a node. A rejected join has not run, so the decider
+// may place it anew. As long as the decider works correctly no guard rejects anything, so each rejection is
+// counted as a violation of its rule and shown to operators.
+//
+// Times are whole microseconds on the caller's clock.
 #pragma once
 
 #include <cstddef>
@@ -15,46 +18,60 @@
 
 namespace lupinsill::session {
 
-enum class Rule { oneAnswer, oneJoin, onceOnly, drain, cold, seats, floor, further };
+// Checked in part by the Front, which knows the requests, and in part by Guards, which knows nodes and rates.
+enum class Rule {
+  oneAnswer,    // every request is answered by its deadline
+  oneJoin,      // a subscription has at most one join at a time
+  onceOnly,     // an unsafe request whose join may have run is not throttled, and not joined again if `once`
+  drain,        // no joins to a node that has been draining or gone for longer than the grace period
+  cold,         // no more joins to a cold node than its capacity allows
+  seats,        // no more subscriptions to a title than its room type has seats
+  floor,        // no rung below the floor of the room type
+  retryBudget,  // no more further joins than the retry budget allows
+};
 constexpr std::size_t ruleCount = 8;
-const char* nameOf(Rule rule);
+const char* nameOf(Rule rule);  // in metrics and logs
 
+// Tracks nodes, seats and rates, and checks each join against the rules drain, cold, seats and retryBudget.
 class Guards {
  public:
-  // `grace`: after the word that a node drains or is gone, until when joins may still go there.
-  Guards(const ControlSettings& terms, Micros grace) : terms_(terms), grace_(grace) {}
+  // `grace`: how long joins may still go to a node after it was reported draining or gone.
+  Guards(const ControlSettings& settings, Micros grace) : settings_(settings), grace_(grace) {}
 
-  void listUpdated(Micros now, const ListUpdate& told);
+  void listUpdated(Micros now, const ListUpdate& update);
   void requestArrived(Micros now);
 
-  // Whether a join may be placed; if so its seat is taken. `rule` says which rule held it back.
-  bool mayPlace(Micros now, const std::string& title, int roomType, NodeId node, bool further, Rule& rule);
-  // Whether it may be written now: it may have waited for a disk or a connection since it was placed, while
-  // its node began to drain, went, or started anew. Counted against a cold node here and nowhere else.
+  // Whether a join may be placed; if so, takes its seat. Otherwise sets `rule` to the violated rule.
+  bool mayPlace(Micros now, const std::string& title, int roomType, NodeId node, bool isRetry, Rule& rule);
+  // Whether a placed join may be written now. Since it was placed it may have waited for the store or a
+  // connection while its node drained, left or restarted. Only written joins count towards the limit of a
+  // cold node.
   bool mayWrite(Micros now, NodeId node, Rule& rule);
+  // Takes the seat of a subscription that was playing when the process started.
   void adopted(const std::string& title, int roomType) { ++seats_[{title, roomType}]; }
-  void ended(const std::string& title, int roomType);
+  // Releases the seat of a join.
+  void joinEnded(const std::string& title, int roomType);
 
-  bool draining(NodeId node) const;  // told to drain, told gone, or never told of
+  bool isNotReady(NodeId node) const;  // draining, gone or unknown
   std::size_t seatsTaken(const std::string& title, int roomType) const;
 
  private:
-  struct Known {
+  struct NodeRecord {
     NodeState state = NodeState::gone;
-    Micros since = 0;  // of a state other than ready
+    Micros notReadySince = 0;  // valid while the state is not ready
     Micros readyAt = 0;
     int kind = 0;
-    std::deque<Micros> sent;  // while cold, over the last fall time
+    std::deque<Micros> recentJoins;  // written within the last fall time, while the node is cold
   };
-  bool drained(Micros now, NodeId id) const;
-  bool coldAllows(Micros now, NodeId id);
+  bool graceExpired(Micros now, NodeId id) const;
+  bool coldLimitAllows(Micros now, NodeId id);
 
-  ControlSettings terms_;
+  ControlSettings settings_;
   Micros grace_;
-  std::map<NodeId, Known> nodes_;
-  std::map<std::pair<std::string, int>, std::size_t> seats_;
-  std::deque<Micros> asks_;
-  std::deque<Micros> further_;
+  std::map<NodeId, NodeRecord> nodes_;
+  std::map<std::pair<std::string, int>, std::size_t> seats_;  // taken, by title and room type
+  std::deque<Micros> requestTimes_;                           // within the window of the retry budget
+  std::deque<Micros> retryTimes_;                             // likewise
 };
 
 }  // namespace lupinsill::session
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -1,5 +1,6 @@
-// A fleet of directors, each with its own module and guards, against one cold media node on a simulated
-// clock: what all of them send it together stays within what chance may add to what the settings allow.
+// Simulates a fleet of directors, each with its own decision module and guards, and one cold media node. The
+// joins that all directors together send to the node must stay within the limit of the settings plus a random
+// fluctuation.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <cmath>
@@ -18,165 +19,182 @@
 constexpr Micros ms = 1'000;
 constexpr Micros second = 1'000'000;
 
-enum class Connections { quick, late, inHeaps };
+// When a join is written after its decision: after 2 ms, after a random time up to 1 s, or in bursts, all at
+// the next full second.
+enum class Connections { quick, late, bursts };
 
 struct Case {
   int directors;
-  int places;
+  int slots;
   double startCapacity;
   double overloadFactor;
   Micros fallTime;
   Connections connections;
-  bool restarted;  // all directors were started with the node: none has counted anything yet
-  bool lateLists;
-  double perSecond;  // asks of the mean director; one in five sees three times that
+  bool restarted;  // all directors started together with the node, so none has counted any joins yet
+  bool lateLists;  // the directors learn of the node up to 1.5 s apart, instead of 0.1 s
+  // Mean over the directors; one in five gets three times as many, the others half.
+  double requestsPerSecond;
 };
 
-ControlSettings parseControlSettings(const Case& c, int ordinal) {
-  ControlSettings t;
+ControlSettings controlSettings(const Case& c, int ordinal) {
+  ControlSettings settings;
   RoomType clip;
   clip.joinObjective = second;
   clip.top = 2;
   RoomType paid = clip;
   paid.effect = Effect::once;
-  t.roomTypes = {clip, paid};
-  t.ladderKb = {100, 200, 400};
-  t.rungBenefit = {0.3, 0.6, 1};
-  t.slotsByKind = {c.places};
-  t.directors = c.directors;
-  t.ordinal = ordinal;
-  t.cells = 1;
-  t.racks = 1;
-  t.maxJoins = 3;
-  t.weightKb = t.totalLinkKb = t.rackUplinkKb = 1e6;  // links are no limit here: the pace alone is
-  t.startCapacity = c.startCapacity;
-  t.overloadFactor = c.overloadFactor;
-  t.coldTime = 8 * second;
-  t.fallTime = c.fallTime;
-  t.seenAfter = 300 * ms;
-  t.reportInterval = second;
-  t.maxRetryAfter = 500 * ms;
-  t.retryAfter = true;
-  return t;
+  settings.roomTypes = {clip, paid};
+  settings.ladderKb = {100, 200, 400};
+  settings.rungBenefit = {0.3, 0.6, 1};
+  settings.slotsByKind = {c.slots};
+  settings.directors = c.directors;
+  settings.ordinal = ordinal;
+  settings.cells = 1;
+  settings.racks = 1;
+  settings.maxJoins = 3;
+  settings.weightKb = settings.totalLinkKb = settings.rackUplinkKb =
+      1e6;  // no limit by links, only by the cold node
+  settings.startCapacity = c.startCapacity;
+  settings.overloadFactor = c.overloadFactor;
+  settings.coldTime = 8 * second;
+  settings.fallTime = c.fallTime;
+  settings.seenAfter = 300 * ms;
+  settings.reportInterval = second;
+  settings.maxRetryAfter = 500 * ms;
+  settings.retryAfter = true;
+  return settings;
 }
 
 struct Director {
   std::unique_ptr<Front> front;
   double rate = 0;
-  double owed = 0;
-  Micros bornAt = 0, toldAt = 0;
-  bool told = false;
+  double pendingRequests = 0;  // fractional
+  Micros startAt = 0, listAt = 0;
+  bool listSent = false;
 };
 
-// The times of all set-ups that were written to the node, which starts at ten seconds.
-std::vector<Micros> sendsOf(const Case& c, unsigned seed) {
+// Runs the case and returns the times at which joins were written to the node, which starts at 10 s.
+std::vector<Micros> simulateWrites(const Case& c, unsigned seed) {
   const Micros start = 10 * second;
-  std::mt19937 draw(seed);
-  const auto span = [&](Micros most) {
-    return static_cast<Micros>(draw() % static_cast<unsigned>(most + 1));
+  std::mt19937 random(seed);
+  const auto randomSpan = [&](Micros maximum) {
+    return static_cast<Micros>(random() % static_cast<unsigned>(maximum + 1));
   };
   std::vector<Director> fleet(static_cast<std::size_t>(c.directors));
   for (std::size_t i = 0; i < fleet.size(); ++i) {
     Director& d = fleet[i];
     d.front = std::make_unique<Front>(
-        parseControlSettings(c, static_cast<int>(i)),
-        Limits{2 * second, 10 * ms, 300 * ms, 0, 0, 1000, 1000, false, 5000, true, 0},
-        std::make_unique<ControlDecider>(parseControlSettings(c, static_cast<int>(i)), seed * 1000 + i));
-    d.rate = c.perSecond * (i % 5 == 0 ? 3 : 0.5);
-    d.bornAt = c.restarted ? start + span(300 * ms) : 10 * ms;
-    d.toldAt = start + 400 * ms + (c.lateLists ? span(1500 * ms) : span(100 * ms));
+        controlSettings(c, static_cast<int>(i)),
+        Limits{.grace = 2 * second,
+               .answerMargin = 10 * ms,
+               .stallThreshold = 300 * ms,
+               .orphanTimeout = 0,
+               .keyRetention = 0,
+               .maxOpen = 1000,
+               .maxKeys = 1000,
+               .keysStored = false,
+               .maxSubscriptions = 5000,
+               .guardsEnabled = true,
+               .minTimeLeft = 0},
+        std::make_unique<ControlDecider>(controlSettings(c, static_cast<int>(i)), seed * 1000 + i));
+    d.rate = c.requestsPerSecond * (i % 5 == 0 ? 3 : 0.5);
+    d.startAt = c.restarted ? start + randomSpan(300 * ms) : 10 * ms;
+    d.listAt = start + 400 * ms + (c.lateLists ? randomSpan(1500 * ms) : randomSpan(100 * ms));
   }
-  struct Write {
+  struct PendingJoin {
     std::size_t director;
     JoinId join;
   };
-  std::multimap<Micros, Write> writes, answers, ends;
-  std::vector<Micros> sent;
-  std::vector<Command> orders;
+  std::multimap<Micros, PendingJoin> writes, starts, ends;
+  std::vector<Micros> written;
+  std::vector<Command> commands;
   CallId callId = 0;
   constexpr Micros step = 5 * ms;
   for (Micros now = 10 * ms; now < start + 8 * second; now += step) {
-    const auto due = [&](std::multimap<Micros, Write>& at, auto act) {
+    const auto takeDue = [&](std::multimap<Micros, PendingJoin>& at, auto handle) {
       while (!at.empty() && at.begin()->first <= now) {
-        const Write write = at.begin()->second;
+        const PendingJoin pending = at.begin()->second;
         at.erase(at.begin());
-        act(write);
+        handle(pending);
       }
     };
-    due(writes, [&](const Write& w) {
-      if (!fleet[w.director].front->mayWrite(now, w.join))
-        return fleet[w.director].front->joinEnded(w.join, Outcome::notSent, {});
-      sent.push_back(now);
-      answers.emplace(now + 30 * ms, w);
+    takeDue(writes, [&](const PendingJoin& pending) {
+      if (!fleet[pending.director].front->mayWrite(now, pending.join))
+        return fleet[pending.director].front->joinEnded(pending.join, Outcome::notSent, {});
+      written.push_back(now);
+      starts.emplace(now + 30 * ms, pending);
     });
-    due(answers, [&](const Write& w) {
-      fleet[w.director].front->joinStarted(w.join);
-      ends.emplace(now + 4 * second, w);
+    takeDue(starts, [&](const PendingJoin& pending) {
+      fleet[pending.director].front->joinStarted(pending.join);
+      ends.emplace(now + 4 * second, pending);
+    });
+    takeDue(ends, [&](const PendingJoin& pending) {
+      fleet[pending.director].front->joinEnded(pending.join, Outcome::ok, {}, true);
     });
-    due(ends, [&](const Write& w) { fleet[w.director].front->joinEnded(w.join, Outcome::ok, {}, true); });
     for (std::size_t i = 0; i < fleet.size(); ++i) {
       Director& d = fleet[i];
-      if (now < d.bornAt) continue;
-      if (!d.told && now >= d.toldAt) {
-        d.told = true;
+      if (now < d.startAt) continue;
+      if (!d.listSent && now >= d.listAt) {
+        d.listSent = true;
         d.front->listUpdated({ListKind::snapshot, {{1, NodeState::ready, 0, 1, 0, start, "a"}}});
       }
-      d.owed +=
-          d.rate * static_cast<double>(step) / second * (0.5 + static_cast<double>(draw() % 1000) / 1000);
-      for (; d.owed >= 1; d.owed -= 1)
+      d.pendingRequests +=
+          d.rate * static_cast<double>(step) / second * (0.5 + static_cast<double>(random() % 1000) / 1000);
+      for (; d.pendingRequests >= 1; d.pendingRequests -= 1)
         d.front->submit({++callId, "", "v" + std::to_string(callId), "t" + std::to_string(callId % 20),
                          static_cast<int>(callId % 2), -1, 0, 1, 2, 3 * second, PlayRequest::Repeat::no,
                          std::nullopt});
       if (now < d.front->due()) continue;
-      orders.clear();
-      d.front->processTurn(now, orders);
-      for (const Command& order : orders)
-        if (const auto* out = std::get_if<SetUp>(&order)) {
+      commands.clear();
+      d.front->processTurn(now, commands);
+      for (const Command& command : commands)
+        if (const auto* setUp = std::get_if<SetUp>(&command)) {
           Micros at = now + 2 * ms;
-          if (c.connections == Connections::late) at = now + span(second);
-          if (c.connections == Connections::inHeaps) at = (now / second + 1) * second;
-          writes.emplace(at, Write{i, out->join});
+          if (c.connections == Connections::late) at = now + randomSpan(second);
+          if (c.connections == Connections::bursts) at = (now / second + 1) * second;
+          writes.emplace(at, PendingJoin{i, setUp->join});
         }
     }
   }
-  return sent;
+  return written;
 }
 
 }  // namespace
 
-TEST_CASE("No fleet of directors pushes a cold node over, with uneven traffic, late lists and connections") {
+TEST_CASE(
+    "A fleet of directors does not overload a cold node, with uneven traffic, late lists and connections") {
   const Case c = GENERATE(Case{20, 20, 0.4, 3, 2 * second, Connections::quick, false, false, 4},
                           Case{30, 20, 0.4, 3, 2 * second, Connections::late, false, true, 4},
-                          Case{30, 20, 0.4, 3, 2 * second, Connections::inHeaps, false, false, 4},
+                          Case{30, 20, 0.4, 3, 2 * second, Connections::bursts, false, false, 4},
                           Case{30, 20, 0.4, 2, second, Connections::quick, true, false, 4},
-                          Case{30, 20, 0.4, 2, second, Connections::inHeaps, true, true, 4},
-                          Case{30, 300, 0.4, 4, 2 * second, Connections::inHeaps, true, false, 8},
+                          Case{30, 20, 0.4, 2, second, Connections::bursts, true, true, 4},
+                          Case{30, 300, 0.4, 4, 2 * second, Connections::bursts, true, false, 8},
                           Case{30, 300, 0.4, 2.5, second, Connections::late, true, true, 8},
                           Case{300, 300, 0.4, 4, 2 * second, Connections::quick, true, true, 2},
-                          Case{300, 40, 0.4, 2.5, second, Connections::inHeaps, true, false, 1});
+                          Case{300, 40, 0.4, 2.5, second, Connections::bursts, true, false, 1});
   const unsigned seeds = c.directors > 100 ? 2 : 6;
-  int broken = 0, within = 0;
-  double worst = 0;
-  std::size_t all = 0;
+  int overLimit = 0, withinLimit = 0;
+  double maxLoad = 0;  // as a share of the limit
+  std::size_t total = 0;
   for (unsigned seed = 1; seed <= seeds; ++seed) {
-    const std::vector<Micros> sent = sendsOf(c, seed);
-    all += sent.size();
-    std::size_t from = 0;
-    for (std::size_t i = 0; i < sent.size(); ++i) {
-      while (sent[from] <= sent[i] - c.fallTime) ++from;
-      // The node is as warm as when the span began, or as it started.
-      const double age = std::max(0.0, static_cast<double>(sent[i] - c.fallTime - 10 * second));
-      const double warmth = c.startCapacity + (1 - c.startCapacity) * age / (8 * second);
+    const std::vector<Micros> written = simulateWrites(c, seed);
+    total += written.size();
+    std::size_t windowStart = 0;
+    for (std::size_t i = 0; i < written.size(); ++i) {
+      while (written[windowStart] <= written[i] - c.fallTime) ++windowStart;
+      // The capacity of the node at the start of the window, or at its own start if that is later.
+      const double age = std::max(0.0, static_cast<double>(written[i] - c.fallTime - 10 * second));
+      const double capacityShare = c.startCapacity + (1 - c.startCapacity) * age / (8 * second);
       const double allowed =
-          c.overloadFactor * c.places * warmth * static_cast<double>(c.fallTime) / (8 * second);
-      const double most = allowed + 2 * std::sqrt(allowed) + 2;
-      const auto count = static_cast<double>(i - from + 1);
-      worst = std::max(worst, count / most);
-      ++(count > most ? broken : within);
+          c.overloadFactor * c.slots * capacityShare * static_cast<double>(c.fallTime) / (8 * second);
+      const double limit = allowed + 2 * std::sqrt(allowed) + 2;
+      const auto count = static_cast<double>(i - windowStart + 1);
+      maxLoad = std::max(maxLoad, count / limit);
+      ++(count > limit ? overLimit : withinLimit);
     }
   }
-  CAPTURE(c.directors, c.places, c.overloadFactor, c.fallTime, static_cast<int>(c.connections), c.restarted,
-          worst, all);
-  CHECK(broken == 0);
-  CHECK(all > 0);  // a node that gets nothing proves nothing
+  CAPTURE(c.directors, c.slots, c.overloadFactor, c.fallTime, static_cast<int>(c.connections), c.restarted,
+          maxLoad, total);
+  CHECK(overLimit == 0);
+  CHECK(total > 0);  // without joins the check would be empty
 }
