--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -47,7 +47,7 @@
   const store::Found stands = store::list(file);
   for (const ledger::Record& record : stands.records) {
     for (const unsigned char byte : record.key.bytes) std::printf("%02x", byte);
-    std::printf(" %-12s %lld\n", ledger::nameOf(record.mark),
+    std::printf(" %-12s %lld\n", ledger::nameOf(record.state),
                 static_cast<long long>(record.until / 1'000'000));
   }
   return stands.whole ? 0 : complain(found, file + ": " + stands.complaint);
--- a/src/director/director.cpp
+++ b/src/director/director.cpp
@@ -630,7 +630,7 @@
   if (!listComplaint_.empty()) json["list"]["complaint"] = listComplaint_;
   nlohmann::ordered_json held = nlohmann::ordered_json::object();
   for (std::size_t i = 0; i < session::ruleCount; ++i)
-    if (f.held[i] != 0) held[nameOf(static_cast<session::Rule>(i))] = f.held[i];
+    if (f.guardViolations[i] != 0) held[nameOf(static_cast<session::Rule>(i))] = f.guardViolations[i];
   json["guardsHeld"] = held;
   return json.dump(2) + "\n";
 }
@@ -693,13 +693,13 @@
   add("lupinsill_rung_changes_total", "Changes of rung while playing", true, {{"", real(f.rungChanges)}});
   std::vector<std::pair<std::string, double>> held;
   for (std::size_t i = 0; i < session::ruleCount; ++i)
-    held.emplace_back(nameOf(static_cast<session::Rule>(i)), real(f.held[i]));
+    held.emplace_back(nameOf(static_cast<session::Rule>(i)), real(f.guardViolations[i]));
   add("lupinsill_guard_held_total", "What a guard held back, by rule; stays 0 on a sound build", true, held,
       "rule");
   add("lupinsill_open_asks", "Asks not answered yet", false, {{"", real(f.open)}});
   add("lupinsill_subscriptions", "Subscriptions that play", false, {{"", real(f.plays)}});
   add("lupinsill_asks_doubted_total", "Repeats answered for what a lost record may have said", true,
-      {{"", real(f.doubted)}});
+      {{"", real(f.uncertainRepeats)}});
   if (store_)
     add("lupinsill_ledger_commits_total", "Group commits of the ledger", true,
         {{"", real(store_->commits())}});
--- a/src/history/play.cpp
+++ b/src/history/play.cpp
@@ -241,7 +241,7 @@
   out_.record.downs.push_back({d.place, d.run, now_ - zero});
   out_.held += [&] {
     std::size_t held = 0;
-    for (const auto n : d.front->statistics().held) held += n;
+    for (const auto n : d.front->statistics().guardViolations) held += n;
     return held;
   }();
   d.up = false;
@@ -306,7 +306,7 @@
     if (!d.up || d.run != run) return;  // killed before the commit
     d.committing = false;
     for (const ledger::Write& one : writes) {
-      if (one.record.mark == ledger::RecordState::refused)
+      if (one.record.state == ledger::RecordState::refused)
         d.stored.erase(one.record.key);
       else
         d.stored[one.record.key] = one.record;
@@ -897,7 +897,7 @@
   }
   for (Director& d : directors_)
     if (d.up)
-      for (const auto n : d.front->statistics().held) out_.held += n;
+      for (const auto n : d.front->statistics().guardViolations) out_.held += n;
   audit::Statistics statistics;
   statistics.terms = terms_;
   statistics.clientTimeouts = h_.deployment.clientTimeouts;
--- a/src/ledger/ledger.cpp
+++ b/src/ledger/ledger.cpp
@@ -38,12 +38,12 @@
     return std::pair(a.until, a.key) < std::pair(b.until, b.key);
   });
   for (const Record& record : sorted) {
-    if (record.mark == RecordState::refused || record.until <= now) continue;
+    if (record.state == RecordState::refused || record.until <= now) continue;
     // An intent without an outcome may have run, because the director was killed between the two. A
     // subscription that was playing has ended with the director that served it.
-    const RecordState state = record.mark == RecordState::intent   ? RecordState::mayHaveRun
-                              : record.mark == RecordState::played ? RecordState::over
-                                                                   : record.mark;
+    const RecordState state = record.state == RecordState::intent   ? RecordState::mayHaveRun
+                              : record.state == RecordState::played ? RecordState::over
+                                                                    : record.state;
     // If the clock was set back, a record must not outlive its retention, or the file would never become
     // empty.
     const Micros until = std::min(record.until, now + retention_);
--- a/src/ledger/ledger.h
+++ b/src/ledger/ledger.h
@@ -47,7 +47,7 @@
 // One key with its state. Expires at `until`.
 struct Record {
   Digest key;
-  RecordState mark = RecordState::intent;
+  RecordState state = RecordState::intent;
   Micros until = 0;
 };
 
--- a/src/platform/run.cpp
+++ b/src/platform/run.cpp
@@ -323,9 +323,9 @@
   const Nodes::Statistics n = nodes_.statistics();
   std::string held;
   for (std::size_t i = 0; i < session::ruleCount; ++i)
-    if (f.held[i] != 0)
+    if (f.guardViolations[i] != 0)
       held += std::string(held.empty() ? "" : ",") + nameOf(static_cast<session::Rule>(i)) + ":" +
-              std::to_string(f.held[i]);
+              std::to_string(f.guardViolations[i]);
   const auto text = [](std::uint64_t value) { return std::to_string(value); };
   log(level, "figures",
       {{"asks", text(f.asks)},
--- a/src/session/front.cpp
+++ b/src/session/front.cpp
@@ -294,7 +294,7 @@
         ledger_.lookup(now_, key, request.repeat == PlayRequest::Repeat::here, firstSentAt);
     if (known == ledger::LookupResult::played) return terminate(TerminateReason::ended);
     if (known == ledger::LookupResult::mayHaveRun) {
-      if (ledger_.mayHaveLostRecord(now_, firstSentAt)) ++statistics_.doubted;
+      if (ledger_.mayHaveLostRecord(now_, firstSentAt)) ++statistics_.uncertainRepeats;
       return terminate(TerminateReason::mayHaveRun);
     }
     // Directors share no ledger: only the one that received the first request knows whether its join has run.
--- a/src/session/front.h
+++ b/src/session/front.h
@@ -163,24 +163,24 @@
 
 // Counters since start, except for the last three members, which are current values.
 struct Statistics {
-  std::uint64_t asks = 0;            // requests received
-  std::uint64_t playing = 0;         // answers by kind
-  std::uint64_t throttled = 0;       // likewise
-  std::uint64_t terminated = 0;      // likewise
-  std::uint64_t joins = 0;           // joins placed
-  std::uint64_t furtherJoins = 0;    // those of them that were not the first of their subscription
-  std::uint64_t repeated = 0;        // requests answered from an earlier request with the same key
-  std::uint64_t doubted = 0;         // repeats terminated because the record of their key may have been lost
-  std::uint64_t late = 0;            // requests throttled on arrival because too little time was left
-  std::uint64_t stalls = 0;          // gaps between turns above Limits::stallThreshold
-  std::uint64_t withdrawnJoins = 0;  // joins returned by the transport before they were written
-  std::uint64_t ended = 0;           // playing subscriptions that ended at their media node
-  std::uint64_t nodeLost = 0;        // those of them that did not reach their regular end
-  std::uint64_t rungChanges = 0;     // while playing
-  std::array<std::uint64_t, ruleCount> held{};  // guard violations by rule
-  std::size_t open = 0;                         // subscriptions that wait for their answer
-  std::size_t plays = 0;                        // subscriptions that play
-  std::size_t keys = 0;                         // keys in the ledger
+  std::uint64_t asks = 0;              // requests received
+  std::uint64_t playing = 0;           // answers of this kind
+  std::uint64_t throttled = 0;         // answers of this kind
+  std::uint64_t terminated = 0;        // answers of this kind
+  std::uint64_t joins = 0;             // joins placed
+  std::uint64_t furtherJoins = 0;      // those of them that were not the first of their subscription
+  std::uint64_t repeated = 0;          // requests answered from an earlier request with the same key
+  std::uint64_t uncertainRepeats = 0;  // repeats terminated because their record may have been lost
+  std::uint64_t late = 0;              // requests throttled on arrival because too little time was left
+  std::uint64_t stalls = 0;            // gaps between turns above Limits::stallThreshold
+  std::uint64_t withdrawnJoins = 0;    // joins returned by the transport before they were written
+  std::uint64_t ended = 0;             // playing subscriptions that ended at their media node
+  std::uint64_t nodeLost = 0;          // those of them that did not reach their regular end
+  std::uint64_t rungChanges = 0;       // while playing
+  std::array<std::uint64_t, ruleCount> guardViolations{};  // by rule
+  std::size_t open = 0;                                    // subscriptions that wait for their answer
+  std::size_t plays = 0;                                   // subscriptions that play
+  std::size_t keys = 0;                                    // keys in the ledger
 };
 
 // The state machine of one director. Single-threaded: one turn at a time, driven by the owner.
@@ -335,7 +335,7 @@
   Subscription* findSubscription(SubscriptionId sub);
   JoinAttempt* findAttempt(JoinId join);
   static ledger::Digest digestOfKey(const PlayRequest& request);
-  void countViolation(Rule rule) { ++statistics_.held[static_cast<std::size_t>(rule)]; }
+  void countViolation(Rule rule) { ++statistics_.guardViolations[static_cast<std::size_t>(rule)]; }
 
   ControlSettings settings_;
   Limits limits_;
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -31,7 +31,7 @@
 Value encode(const ledger::Record& record, Micros clockToWall) {
   Value value;
   value.bytes[0] = version;
-  value.bytes[1] = static_cast<std::uint8_t>(record.mark);
+  value.bytes[1] = static_cast<std::uint8_t>(record.state);
   const Micros wall = record.until + clockToWall;
   std::memcpy(value.bytes + 2, &wall, 8);
   const std::uint64_t sum = sumOf(record.key, value.bytes);
@@ -47,7 +47,7 @@
   std::uint64_t sum = 0;
   std::memcpy(&sum, bytes + 10, 8);
   if (bytes[0] != version || bytes[1] < 1 || bytes[1] > 5 || sum != sumOf(record.key, bytes)) return false;
-  record.mark = static_cast<ledger::RecordState>(bytes[1]);
+  record.state = static_cast<ledger::RecordState>(bytes[1]);
   Micros wall = 0;
   std::memcpy(&wall, bytes + 2, 8);
   record.until = wall - clockToWall;
@@ -196,7 +196,7 @@
   int rc = 0;
   for (const ledger::Write& write : batch) {
     MDB_val key{16, const_cast<unsigned char*>(write.record.key.bytes.data())};
-    if (write.record.mark == ledger::RecordState::refused) {
+    if (write.record.state == ledger::RecordState::refused) {
       rc = mdb_del(txn, table_, &key, nullptr);
       if (rc == MDB_NOTFOUND) rc = 0;
     } else {
--- a/tests/front_test.cpp
+++ b/tests/front_test.cpp
@@ -129,7 +129,7 @@
     return setUp->join;
   }
   std::uint64_t violations(Rule rule) const {
-    return front.statistics().held[static_cast<std::size_t>(rule)];
+    return front.statistics().guardViolations[static_cast<std::size_t>(rule)];
   }
 };
 
@@ -508,7 +508,7 @@
   CHECK(harness.only<SetUp>() == nullptr);
   const auto writes = harness.front.takeWrites();
   REQUIRE(writes.size() == 1);
-  CHECK(writes[0].record.mark == ledger::RecordState::intent);
+  CHECK(writes[0].record.state == ledger::RecordState::intent);
   SECTION("the intent becomes durable: it is sent") {
     harness.front.durable(writes[0].seq);
     harness.turn();
@@ -516,7 +516,7 @@
     harness.front.mayWrite(harness.now, harness.only<SetUp>()->join);
     harness.front.joinEnded(harness.only<SetUp>()->join, Outcome::full, {});
     harness.turn();
-    REQUIRE(harness.front.takeWrites().at(0).record.mark == ledger::RecordState::refused);
+    REQUIRE(harness.front.takeWrites().at(0).record.state == ledger::RecordState::refused);
   }
   SECTION("its node drains first: it is never sent") {
     harness.front.listUpdated({ListKind::changes, {{1, NodeState::draining, 0, 1, 0, 0, "a"}}});
@@ -798,7 +798,7 @@
     for (const auto& [id, at] : checker.sentAt)
       if (at <= now) CHECK(checker.answerCount[id] == 1);
     CHECK(front.statistics().open == 0);
-    CHECK(front.statistics().held[static_cast<std::size_t>(Rule::oneAnswer)] == 0);
+    CHECK(front.statistics().guardViolations[static_cast<std::size_t>(Rule::oneAnswer)] == 0);
     answered += checker.answerCount.size();
     setUps += checker.joins.size();
   }
--- a/tests/ledger_test.cpp
+++ b/tests/ledger_test.cpp
@@ -22,7 +22,7 @@
   ledger.updateState(0, a, RecordState::played);
   const auto writes = ledger.takeWrites();
   REQUIRE(writes.size() == 2);
-  CHECK(writes[0].record.mark == RecordState::played);
+  CHECK(writes[0].record.state == RecordState::played);
   ledger.markDurable(secondIntent);
   CHECK(ledger.isDurable(first));
   CHECK(ledger.takeWrites().empty());
@@ -114,10 +114,10 @@
         case 4:  // the store commits all pending writes
           for (const Write& write : ledger->takeWrites()) {
             const int number = keyByDigest[write.record.key];
-            if (write.record.mark == RecordState::refused)
+            if (write.record.state == RecordState::refused)
               disk.erase(number);
             else
-              disk[number] = write.record.mark;
+              disk[number] = write.record.state;
             ledger->markDurable(write.seq);
           }
           break;
