--- a/src/ledger/ledger.cpp
+++ b/src/ledger/ledger.cpp
@@ -1,3 +1,4 @@
+// Every change is applied to the records in memory and queued for the store in the same step.
 #include "ledger/ledger.h"
 
 #include <sodium.h>
--- a/src/ledger/ledger.h
+++ b/src/ledger/ledger.h
@@ -42,6 +42,7 @@
   refused = 5,     // provably nothing ran; equivalent to no record
 };
 
+// The names in the output of the ledger command.
 const char* nameOf(RecordState state);
 
 // One key with its state. Expires at `until`.
@@ -62,6 +63,7 @@
 // What the ledger knows about the first request of a key.
 enum class LookupResult { nothing, mayHaveRun, played };
 
+// The records of one director in memory, with the changes that its store still has to write.
 class Ledger {
  public:
   // `retention`: how long a key is kept after its last update. `maxKeys`: when full() becomes true.
@@ -78,6 +80,8 @@
   // Records the write-ahead intent of a join, which may be sent once isDurable() is true for the returned
   // number.
   Seq recordIntent(Micros now, const Digest& key);
+  // Records how far a join of the key has got. Does nothing if the state is unchanged, or if it is `refused`
+  // while the key has a state other than `intent`.
   void updateState(Micros now, const Digest& key, RecordState state);
   // `declaredRepeat`: the client says that it sent the key to this director before. `firstSentAt`: the
   // earliest time at which it can have been sent first, if the client says so.
--- a/src/session/front.cpp
+++ b/src/session/front.cpp
@@ -1,3 +1,5 @@
+// A turn handles, in this order: joins whose intent has become durable, inbound events with list updates
+// first, join time-outs, timers, the decider, answer deadlines and the expiry of ledger records.
 #include "session/front.h"
 
 #include <algorithm>
@@ -11,6 +13,7 @@
 // The decider is asked again in the same turn when a guard rejects one of its joins.
 constexpr int maxDeciderRounds = 64;
 
+// Whether the outcome proves that the join did not run at its media node.
 bool provesNothingRan(Outcome outcome) {
   return outcome == Outcome::full || outcome == Outcome::connectFailed || outcome == Outcome::notSent;
 }
@@ -418,7 +421,7 @@
   finishJoin(*attempt, inbound.finished ? Outcome::ok : inbound.outcome, inbound.report, true, false);
 }
 
-// A join that was never written cannot have run, however long it waited; connectFailed proves that.
+// A join that was never written cannot have run, however long it waited; see provesNothingRan().
 void Front::timeOutJoin(JoinAttempt& attempt) {
   endUnstartedJoin(attempt, attempt.written ? Outcome::timeout : Outcome::connectFailed, {}, true);
 }
--- a/src/session/front.h
+++ b/src/session/front.h
@@ -103,25 +103,30 @@
 // Commands to the player transport. Each request gets exactly one of Playing, Throttled and Terminated,
 // unless its player leaves before. RungChanged and Ended follow only after Playing or for an adopted
 // subscription.
+// The subscription plays.
 struct Playing {
   CallId callId;
   SubscriptionId sub;
   NodeId node;
   int rung;
 };
+// The request is rejected and may be sent again.
 struct Throttled {
   CallId callId;
   Micros retryAfter;  // 0: no advice
   ThrottleReason reason;
 };
+// The request has failed for good.
 struct Terminated {
   CallId callId;
   TerminateReason reason;
 };
+// The rung of a playing subscription has changed.
 struct RungChanged {
   CallId callId;
   int rung;
 };
+// A playing subscription has ended.
 struct Ended {
   CallId callId;
   EndReason reason;
@@ -143,10 +148,12 @@
   CallId callId;               // of the request that created the subscription
   Micros until;                // when the join times out
 };
+// Change the rung of a join that has been sent or that waits to be written.
 struct ChangeRung {
   JoinId join;
   int rung;
 };
+// End a join, whether or not it was written or has started.
 struct TearDown {
   JoinId join;
 };
@@ -158,6 +165,7 @@
 // Watch the node list for changes.
 struct StartListWatch {};
 
+// What processTurn() returns for the transports to carry out.
 using Command = std::variant<Playing, Throttled, Terminated, RungChanged, Ended, SetUp, ChangeRung, TearDown,
                              Withdraw, StartListWatch>;
 
@@ -188,7 +196,7 @@
  public:
   Front(ControlSettings settings, Limits limits, std::unique_ptr<Decider> decider);
 
-  // Inbound events; unless noted otherwise they take effect at the next turn, in the order of these calls.
+  // Inbound events. All calls up to listUpdated() except mayWrite() take effect at the next turn, in order.
 
   void submit(PlayRequest request);
   // Takes over a subscription that was already playing at `node` when this process started. Its player gets
@@ -200,11 +208,16 @@
   // the transport must write the join, which counts as possibly run from then on. If false, the transport
   // must not write it and must report it as ended with Outcome::notSent.
   bool mayWrite(Micros now, JoinId join);
+  // The media node has confirmed that the join plays.
   void joinStarted(JoinId join);
   // `finished`: a join that was playing has reached its regular end.
   void joinEnded(JoinId join, Outcome outcome, const LoadReport& report, bool finished = false);
+  // A measurement of a playing join was reported.
   void measured(JoinId join, MeasurementKind kind, double value);
   void listUpdated(ListUpdate update);
+
+  // The following calls take effect at once unless noted otherwise.
+
   // Loads the records found in the store at start; `complete` is false if the store was missing or damaged.
   // See Ledger::recover().
   void recover(Micros now, const std::vector<ledger::Record>& records, bool complete) {
--- a/src/session/guards.cpp
+++ b/src/session/guards.cpp
@@ -1,3 +1,4 @@
+// Rates are counted over sliding windows, as time stamps in ascending order.
 #include "session/guards.h"
 
 #include <algorithm>
--- a/src/session/guards.h
+++ b/src/session/guards.h
@@ -38,7 +38,9 @@
   // `grace`: how long joins may still go to a node after it was reported draining or gone.
   Guards(const ControlSettings& settings, Micros grace) : settings_(settings), grace_(grace) {}
 
+  // Updates the states of the nodes.
   void listUpdated(Micros now, const ListUpdate& update);
+  // Counts a request towards the retry budget.
   void requestArrived(Micros now);
 
   // Whether a join may be placed; if so, takes its seat. Otherwise sets `rule` to the violated rule.
--- a/tests/front_test.cpp
+++ b/tests/front_test.cpp
@@ -668,7 +668,7 @@
   }
   void answer(Micros now, CallId callId, bool throttled) {
     if (++answerCount[callId] > 1) violations.push_back("two answers");
-    // After a stall longer than the client timeout, the answer may only come in the first turn after it.
+    // After a stall beyond the client timeout, the first turn may answer late.
     if (now > sentAt[callId] + 3 * second && lastTurn > sentAt[callId] + 2800 * ms)
       violations.push_back("answered late");
     if (throttled && roomOf[callId] == 1 && mayHaveRun[keyOf[callId]] > 0)
