--- a/src/control_settings/control_settings.cpp
+++ b/src/control_settings/control_settings.cpp
@@ -6,7 +6,7 @@
 namespace lupinsill::control_settings {
 
 ControlSettings parseControlSettings(const Json& options, Names& names) {
-  if (!options.is_object()) bad("options", "not an object");
+  if (!options.is_object()) failInvalid("options", "not an object");
   ControlSettings terms;
   const Json& domain = objectIn(options, "domain");
   const Json& limits = objectIn(options, "limits");
@@ -21,7 +21,7 @@
     terms.slotsByKind.push_back(static_cast<int>(parseInteger(value, "placesByKind", 0, 1'000'000'000)));
   const int topRung = static_cast<int>(terms.ladderKb.size()) - 1;
   for (const Json& item : listIn(options, "classes")) {
-    if (!item.is_object()) bad("classes", "not an object");
+    if (!item.is_object()) failInvalid("classes", "not an object");
     RoomType room;
     std::string name;
     read(item, "name", name);
@@ -51,7 +51,7 @@
     terms.roomTypes.push_back(room);
   }
   for (const Json& item : listIn(options, "parties")) {
-    if (!item.is_object()) bad("parties", "not an object");
+    if (!item.is_object()) failInvalid("parties", "not an object");
     std::string name;
     double quota = 0;
     read(item, "name", name);
@@ -61,7 +61,7 @@
   }
   for (const Json& item : listIn(options, "machineTypes"))
     names.kinds.push_back(parseText(item, "machineTypes"));
-  if (found(rules, "lookBackNs") != nullptr) {
+  if (findMember(rules, "lookBackNs") != nullptr) {
     RetryBudget budget;
     read(rules, "extraFloor", budget.minRetries);
     read(rules, "furtherRatio", budget.share);
--- a/src/control_settings/control_settings.h
+++ b/src/control_settings/control_settings.h
@@ -18,11 +18,11 @@
 };
 
 // The figures of a load report, by the names that both wires give them.
-struct Reported {
+struct LoadReportField {
   const char* name;
   std::optional<double> LoadReport::*into;
 };
-inline constexpr Reported reported[] = {
+inline constexpr LoadReportField loadReportFields[] = {
     {"cpu", &LoadReport::linkShare}, {"x0", &LoadReport::linkUse}, {"x1", &LoadReport::uplinkUse}};
 
 ControlSettings parseControlSettings(const Json& options, Names& names);
--- a/src/control_settings/json_reader.h
+++ b/src/control_settings/json_reader.h
@@ -1,4 +1,4 @@
-// Reads JSON of the operators' settings, with complaints that name the field.
+// Reads members of a JSON settings object. Every error names the field.
 #pragma once
 
 #include <cstdint>
@@ -20,7 +20,7 @@
   using std::runtime_error::runtime_error;
 };
 
-[[noreturn]] void bad(const std::string& what, const std::string& why);
+[[noreturn]] void failInvalid(const std::string& what, const std::string& why);
 std::int64_t parseInteger(const Json& value, const std::string& what,
                           std::int64_t least = std::numeric_limits<std::int64_t>::min(),
                           std::int64_t most = std::numeric_limits<std::int64_t>::max());
@@ -29,7 +29,7 @@
 Micros parseNanoseconds(const Json& nanos, const std::string& what);
 
 // A key that is absent or null keeps what stands there already.
-const Json* found(const Json& object, const char* key);
+const Json* findMember(const Json& object, const char* key);
 void read(const Json& object, const char* key, double& into);
 void read(const Json& object, const char* key, int& into);
 void read(const Json& object, const char* key, bool& into);
@@ -38,14 +38,14 @@
 const Json& listIn(const Json& object, const char* key);
 const Json& objectIn(const Json& object, const char* key);
 const Json* itemIn(const Json& list, std::size_t index);
-int placeOf(const std::vector<std::string>& names, const std::string& name);
+int indexOf(const std::vector<std::string>& names, const std::string& name);
 
 template <class E>
 E parseEnum(const std::string& word, const std::string& what,
             std::initializer_list<std::pair<const char*, E>> known) {
   for (const auto& [name, value] : known)
     if (word == name) return value;
-  bad(what, "unknown word '" + word + "'");
+  failInvalid(what, "unknown word '" + word + "'");
 }
 
 }  // namespace lupinsill::control_settings
--- a/src/platform/configuration.cpp
+++ b/src/platform/configuration.cpp
@@ -15,8 +15,8 @@
 namespace {
 
 const Json& at(const Json& object, const char* key) {
-  const Json* value = found(object, key);
-  if (value == nullptr) bad(key, "missing");
+  const Json* value = findMember(object, key);
+  if (value == nullptr) failInvalid(key, "missing");
   return *value;
 }
 
@@ -36,7 +36,7 @@
         rows.erase(row.name);
         continue;
       }
-      if (status != "up" && status != "draining") bad("status", "unknown word '" + status + "'");
+      if (status != "up" && status != "draining") failInvalid("status", "unknown word '" + status + "'");
       row.draining = status == "draining";
       const HostPort place = placeOf(parseText(at(entry, "address"), "address"), "address");
       row.host = place.host;
@@ -45,7 +45,8 @@
       control_settings::read(entry, "type", row.kind);
       control_settings::read(entry, "group", row.cell);
       control_settings::read(entry, "weight", row.weight);
-      if (const Json* since = found(entry, "since_ms")) row.startedMs = parseInteger(*since, "since_ms", 0);
+      if (const Json* since = findMember(entry, "since_ms"))
+        row.startedMs = parseInteger(*since, "since_ms", 0);
       rows[row.name] = row;
     }
   }
@@ -59,27 +60,27 @@
 HostPort placeOf(const std::string& text, const char* field) {
   const std::size_t colon = text.rfind(':');
   HostPort place;
-  if (colon == std::string::npos || colon == 0) bad(field, "expected host:port");
+  if (colon == std::string::npos || colon == 0) failInvalid(field, "expected host:port");
   place.host = text.substr(0, colon);
   const char* end = text.data() + text.size();
   const auto [last, error] = std::from_chars(text.data() + colon + 1, end, place.port);
   if (error != std::errc() || last != end || place.port < 0 || place.port > 65535)
-    bad(field, "expected host:port");
+    failInvalid(field, "expected host:port");
   return place;
 }
 
 Configuration configurationOf(const std::string& text) {
   const Json json = Json::parse(text, nullptr, false);
-  if (!json.is_object()) bad("LB_CONFIG", "not a JSON object");
+  if (!json.is_object()) failInvalid("LB_CONFIG", "not a JSON object");
   Configuration c;
   c.name = parseText(at(json, "name"), "name");
   c.listen = placeOf(parseText(at(json, "listen"), "listen"), "listen");
   c.resolver = placeOf(parseText(at(json, "resolver"), "resolver"), "resolver");
   if (in_addr address{}; inet_pton(AF_INET, c.resolver.host.c_str(), &address) != 1)
-    bad("resolver", "not an IPv4 address");
+    failInvalid("resolver", "not an IPv4 address");
   const std::string seed = parseText(at(json, "seed"), "seed");
   const auto [last, error] = std::from_chars(seed.data(), seed.data() + seed.size(), c.seed, 16);
-  if (error != std::errc() || last != seed.data() + seed.size()) bad("seed", "not hex digits");
+  if (error != std::errc() || last != seed.data() + seed.size()) failInvalid("seed", "not hex digits");
   c.sockets =
       static_cast<std::size_t>(parseInteger(at(at(json, "limits"), "sockets"), "sockets", 64, 1'000'000));
   const Json& known = at(json, "known");
@@ -87,7 +88,7 @@
   c.known = rowsOf(known);
   const Json& settings = at(json, "settings");
   c.terms = parseControlSettings(settings, c.names);
-  if (c.terms.roomTypes.empty()) bad("classes", "missing");
+  if (c.terms.roomTypes.empty()) failInvalid("classes", "missing");
   const Json& rules = objectIn(settings, "rules");
   const Json& limits = objectIn(settings, "limits");
   c.grace = 2'000'000;
@@ -104,7 +105,7 @@
 
 Configuration readConfiguration(const std::string& file) {
   std::ifstream in(file, std::ios::binary);
-  if (!in) bad("LB_CONFIG", file + " can't be read");
+  if (!in) failInvalid("LB_CONFIG", file + " can't be read");
   std::ostringstream bytes;
   bytes << in.rdbuf();
   return configurationOf(bytes.str());
--- a/src/platform/nodes.cpp
+++ b/src/platform/nodes.cpp
@@ -354,7 +354,7 @@
   LoadReport report;
   try {
     const auto pairs = jsonl::pairsOf(text);
-    for (const auto& [name, into] : control_settings::reported)
+    for (const auto& [name, into] : control_settings::loadReportFields)
       if (const auto it = pairs.find(name); it != pairs.end())
         if (const auto real = jsonl::realOf(it->second, 0, 1e6)) report.*into = *real;
   } catch (const jsonl::BadLine&) {
--- a/src/platform/run.cpp
+++ b/src/platform/run.cpp
@@ -164,7 +164,7 @@
     endpoint.host = row.host;
     endpoint.port = row.port;
     endpoint.state = row.draining ? NodeState::draining : NodeState::ready;
-    endpoint.kind = control_settings::placeOf(told_.names.kinds, row.kind);
+    endpoint.kind = control_settings::indexOf(told_.names.kinds, row.kind);
     endpoint.cell = row.cell;
     endpoint.weight = row.weight;
     endpoint.zone = row.zone;
--- a/src/platform/viewers.cpp
+++ b/src/platform/viewers.cpp
@@ -245,10 +245,10 @@
   if (room == nullptr || title == nullptr || title->empty() || extras == nullptr || !message.desc ||
       message.desc->empty())
     return false;
-  ask.roomType = control_settings::placeOf(names_.roomTypes, *room);
+  ask.roomType = control_settings::indexOf(names_.roomTypes, *room);
   if (ask.roomType < 0) return false;
   if (const std::string* tenant = message.find("tenant"))
-    ask.party = control_settings::placeOf(names_.parties, *tenant);
+    ask.party = control_settings::indexOf(names_.parties, *tenant);
   ask.title = *title;
   std::map<std::string, std::string> facts;
   try {
--- a/src/simulator/codec.cpp
+++ b/src/simulator/codec.cpp
@@ -14,7 +14,7 @@
 SubscriptionId subIn(const Json& value) {
   const std::string text = parseText(value, "rid");
   if (text.size() != 16 || text.find_first_not_of("0123456789abcdef") != std::string::npos)
-    bad("rid", "not 16 hex digits");
+    failInvalid("rid", "not 16 hex digits");
   return std::stoull(text, nullptr, 16);
 }
 
@@ -39,9 +39,9 @@
 LoadReport reportIn(const Json& telemetry) {
   LoadReport report;
   if (telemetry.is_null()) return report;
-  if (!telemetry.is_object()) bad("telemetry", "not an object");
-  for (const auto& [name, into] : control_settings::reported)
-    if (const Json* value = found(telemetry, name)) report.*into = parseNumber(*value, name);
+  if (!telemetry.is_object()) failInvalid("telemetry", "not an object");
+  for (const auto& [name, into] : control_settings::loadReportFields)
+    if (const Json* value = findMember(telemetry, name)) report.*into = parseNumber(*value, name);
   return report;
 }
 
@@ -55,10 +55,10 @@
   v.title = m.value(at.show).is_null() ? "" : parseText(m.value(at.show), "show");
   v.viewer = m.value(at.routeKey).is_null() ? "" : parseText(m.value(at.routeKey), "routeKey");
   const std::string type = m.text(at.kind, "kind");
-  v.roomType = placeOf(names.roomTypes, type);
-  if (v.roomType < 0) bad("kind", "unknown class '" + type + "'");
+  v.roomType = indexOf(names.roomTypes, type);
+  if (v.roomType < 0) failInvalid("kind", "unknown class '" + type + "'");
   if (m.value(at.account).is_string())
-    v.party = placeOf(names.parties, m.value(at.account).get<std::string>());
+    v.party = indexOf(names.parties, m.value(at.account).get<std::string>());
   v.firstCell = smallIn(m.value(at.firstCell), "firstCell", 0);
   v.holders = smallIn(m.value(at.holders), "holders", 1'000'000);
   v.top = smallIn(m.value(at.top), "top", 1'000'000);
@@ -78,7 +78,7 @@
 
 Message::Message(const Json& array) : array_(array) {
   if (!array.is_array() || array.empty() || !array[0].is_string())
-    bad("message", "not an array that starts with a name");
+    failInvalid("message", "not an array that starts with a name");
   name_ = array[0].get<std::string>();
 }
 const Json& Message::value(std::size_t place) const {
@@ -105,14 +105,14 @@
 }
 
 std::vector<ListEntry> entriesOf(const Json& rows, const Names& names) {
-  if (!rows.is_array()) bad("membersList", "not an array");
+  if (!rows.is_array()) failInvalid("membersList", "not an array");
   std::vector<ListEntry> entries;
   for (const Json& row : rows) {
-    if (!row.is_array() || row.size() < 3) bad("membersList", "an entry is not an array of values");
+    if (!row.is_array() || row.size() < 3) failInvalid("membersList", "an entry is not an array of values");
     const auto at = [&](std::size_t place) { return itemIn(row, place); };
     ListEntry entry;
     entry.state = stateIn(parseText(row[0], "status"));
-    if (const Json* v = at(1)) entry.kind = placeOf(names.kinds, parseText(*v, "model"));
+    if (const Json* v = at(1)) entry.kind = indexOf(names.kinds, parseText(*v, "model"));
     entry.node = nodeIn(row[2]);
     if (const Json* v = at(3)) entry.weight = parseNumber(*v, "size");
     if (const Json* v = at(4)) entry.cell = static_cast<int>(parseInteger(*v, "slotNo", 0, 1'000'000'000));
@@ -129,7 +129,7 @@
   const std::string& name = m.name();
   if (name == "Demand") {
     SubscriptionInfo viewing = viewingOf(m, names, {3, 4, 5, 6, 7, 8, 9, 10, 11, 12});
-    if (m.value(6).is_null()) bad("notAfterNs", "missing");
+    if (m.value(6).is_null()) failInvalid("notAfterNs", "missing");
     return {SubscriptionRequested{std::move(viewing)}};
   }
   if (name == "Preexisting")
@@ -137,14 +137,14 @@
   if (name == "Begun") return {JoinStarted{subIn(m.value(2)), smallIn(m.value(3), "attempt", 0)}};
   if (name == "Change") {
     const std::int64_t kind = parseInteger(m.value(5), "kind");
-    if (kind < 1 || kind > 4) bad("kind", "unknown note " + std::to_string(kind));
+    if (kind < 1 || kind > 4) failInvalid("kind", "unknown note " + std::to_string(kind));
     constexpr MeasurementKind readings[] = {MeasurementKind::delivered, MeasurementKind::rung,
                                             MeasurementKind::link, MeasurementKind::uplink};
     return {MeasurementReported{subIn(m.value(2)), nodeIn(m.value(4)), readings[kind - 1],
                                 parseNumber(m.value(6), "x")}};
   }
   if (name == "Response") {
-    if (!m.value(7).is_boolean()) bad("settled", "not true or false");
+    if (!m.value(7).is_boolean()) failInvalid("settled", "not true or false");
     const Outcome outcome = parseEnum<Outcome>(m.text(4, "rc"), "rc",
                                                {{"ok", Outcome::ok},
                                                 {"error", Outcome::error},
