--- a/src/control_settings/control_settings.cpp
+++ b/src/control_settings/control_settings.cpp
@@ -5,22 +5,23 @@
 
 namespace lupinsill::control_settings {
 
-ControlSettings parseControlSettings(const Json& options, Names& names) {
-  if (!options.is_object()) failInvalid("options", "not an object");
-  ControlSettings terms;
-  const Json& domain = objectIn(options, "domain");
-  const Json& limits = objectIn(options, "limits");
-  const Json& rules = objectIn(options, "rules");
+ControlSettings parseControlSettings(const Json& json, Names& names) {
+  if (!json.is_object()) failInvalid("options", "not an object");
+  ControlSettings settings;
+  const Json& domain = objectIn(json, "domain");
+  const Json& limits = objectIn(json, "limits");
+  const Json& rules = objectIn(json, "rules");
   for (const Json& value : listIn(domain, "ladderKb"))
-    terms.ladderKb.push_back(parseNumber(value, "ladderKb"));
+    settings.ladderKb.push_back(parseNumber(value, "ladderKb"));
   for (const Json& value : listIn(domain, "levelWorth"))
-    terms.rungBenefit.push_back(parseNumber(value, "levelWorth"));
-  if (terms.ladderKb.empty()) terms.ladderKb.push_back(1);
-  terms.rungBenefit.resize(terms.ladderKb.size(), terms.rungBenefit.empty() ? 1 : terms.rungBenefit.back());
+    settings.rungBenefit.push_back(parseNumber(value, "levelWorth"));
+  if (settings.ladderKb.empty()) settings.ladderKb.push_back(1);
+  settings.rungBenefit.resize(settings.ladderKb.size(),
+                              settings.rungBenefit.empty() ? 1 : settings.rungBenefit.back());
   for (const Json& value : listIn(domain, "placesByKind"))
-    terms.slotsByKind.push_back(static_cast<int>(parseInteger(value, "placesByKind", 0, 1'000'000'000)));
-  const int topRung = static_cast<int>(terms.ladderKb.size()) - 1;
-  for (const Json& item : listIn(options, "classes")) {
+    settings.slotsByKind.push_back(static_cast<int>(parseInteger(value, "placesByKind", 0, 1'000'000'000)));
+  const int topRung = static_cast<int>(settings.ladderKb.size()) - 1;
+  for (const Json& item : listIn(json, "classes")) {
     if (!item.is_object()) failInvalid("classes", "not an object");
     RoomType room;
     std::string name;
@@ -37,65 +38,64 @@
     readMicros(item, "windowNs", room.window);
     readMicros(item, "aimNs", room.joinObjective);
     read(item, "points", room.benefit);
-    const std::size_t place = terms.roomTypes.size();
+    const std::size_t index = settings.roomTypes.size();
     room.top = topRung;
-    if (const Json* v = itemIn(listIn(domain, "rateFactor"), place))
+    if (const Json* v = itemIn(listIn(domain, "rateFactor"), index))
       room.rateFactor = parseNumber(*v, "rateFactor");
-    if (const Json* v = itemIn(listIn(domain, "floorByClass"), place))
+    if (const Json* v = itemIn(listIn(domain, "floorByClass"), index))
       room.floor = static_cast<int>(parseInteger(*v, "floorByClass", 0, topRung));
-    if (const Json* v = itemIn(listIn(domain, "classTop"), place))
+    if (const Json* v = itemIn(listIn(domain, "classTop"), index))
       room.top = static_cast<int>(std::min<std::int64_t>(topRung, parseInteger(*v, "classTop", 0)));
-    if (const Json* v = itemIn(listIn(domain, "seats"), place))
+    if (const Json* v = itemIn(listIn(domain, "seats"), index))
       room.seats = static_cast<int>(parseInteger(*v, "seats", 0, 1'000'000'000));
     names.roomTypes.push_back(name);
-    terms.roomTypes.push_back(room);
+    settings.roomTypes.push_back(room);
   }
-  for (const Json& item : listIn(options, "parties")) {
+  for (const Json& item : listIn(json, "parties")) {
     if (!item.is_object()) failInvalid("parties", "not an object");
     std::string name;
     double quota = 0;
     read(item, "name", name);
     read(item, "quotaPerS", quota);
     names.parties.push_back(name);
-    terms.quotaPerSecond.push_back(quota);
+    settings.quotaPerSecond.push_back(quota);
   }
-  for (const Json& item : listIn(options, "machineTypes"))
+  for (const Json& item : listIn(json, "machineTypes"))
     names.kinds.push_back(parseText(item, "machineTypes"));
   if (findMember(rules, "lookBackNs") != nullptr) {
     RetryBudget budget;
     read(rules, "extraFloor", budget.minRetries);
     read(rules, "furtherRatio", budget.share);
     readMicros(rules, "lookBackNs", budget.window);
-    terms.retryBudget = budget;
+    settings.retryBudget = budget;
   }
-  read(options, "myZone", terms.zone);
-  read(options, "balancers", terms.directors);
-  terms.directors = std::max(1, terms.directors);
-  read(options, "ordinal", terms.ordinal);
-  read(domain, "cells", terms.cells);
-  read(domain, "cabinets", terms.racks);
-  read(limits, "maxAttempts", terms.maxJoins);
-  read(domain, "weightKb", terms.weightKb);
-  read(domain, "allLinksKb", terms.totalLinkKb);
-  read(domain, "rackKb", terms.rackUplinkKb);
-  read(domain, "refusesFrom", terms.refusalThreshold);
-  read(rules, "startCapacity", terms.startCapacity);
-  read(rules, "overloadFactor", terms.overloadFactor);
-  read(domain, "switchS", terms.switchSeconds);
-  readMicros(rules, "coldNs", terms.coldTime);
-  readMicros(rules, "fallNs", terms.fallTime);
-  readMicros(domain, "seenAfterNs", terms.seenAfter);
-  readMicros(domain, "reportsEveryNs", terms.reportInterval);
-  readMicros(limits, "maxRetryAfterNs", terms.maxRetryAfter);
-  read(limits, "retryAfter", terms.retryAfter);
-  read(limits, "cancelling", terms.cancelling);
-  if (const Json stats = options.value("stats", Json::object());
-      stats.is_object() && stats.contains("fields"))
-    for (const Json& field : stats["fields"]) terms.uplinksReported |= field == "x1";
+  read(json, "myZone", settings.zone);
+  read(json, "balancers", settings.directors);
+  settings.directors = std::max(1, settings.directors);
+  read(json, "ordinal", settings.ordinal);
+  read(domain, "cells", settings.cells);
+  read(domain, "cabinets", settings.racks);
+  read(limits, "maxAttempts", settings.maxJoins);
+  read(domain, "weightKb", settings.weightKb);
+  read(domain, "allLinksKb", settings.totalLinkKb);
+  read(domain, "rackKb", settings.rackUplinkKb);
+  read(domain, "refusesFrom", settings.refusalThreshold);
+  read(rules, "startCapacity", settings.startCapacity);
+  read(rules, "overloadFactor", settings.overloadFactor);
+  read(domain, "switchS", settings.switchSeconds);
+  readMicros(rules, "coldNs", settings.coldTime);
+  readMicros(rules, "fallNs", settings.fallTime);
+  readMicros(domain, "seenAfterNs", settings.seenAfter);
+  readMicros(domain, "reportsEveryNs", settings.reportInterval);
+  readMicros(limits, "maxRetryAfterNs", settings.maxRetryAfter);
+  read(limits, "retryAfter", settings.retryAfter);
+  read(limits, "cancelling", settings.cancelling);
+  if (const Json stats = json.value("stats", Json::object()); stats.is_object() && stats.contains("fields"))
+    for (const Json& field : stats["fields"]) settings.uplinksReported |= field == "x1";
   std::string discovery = "pushed";
-  read(options, "discovery", discovery);
-  terms.listOnRequest = parseEnum<bool>(discovery, "discovery", {{"pushed", false}, {"on_request", true}});
-  return terms;
+  read(json, "discovery", discovery);
+  settings.listOnRequest = parseEnum<bool>(discovery, "discovery", {{"pushed", false}, {"on_request", true}});
+  return settings;
 }
 
 }  // namespace lupinsill::control_settings
--- a/src/control_settings/control_settings.h
+++ b/src/control_settings/control_settings.h
@@ -1,5 +1,6 @@
-// What a deployment's settings object says, as the decisions read it: on the drill's wire and in a director's
-// configuration alike. Names and nanoseconds of the operators end here.
+// Parses the settings object of a deployment into ControlSettings. The simulator's protocol and the
+// configuration of a director on the operators' platform use the same object. Its field names and its times
+// in nanoseconds are translated here and used nowhere else.
 #pragma once
 
 #include <string>
@@ -10,14 +11,14 @@
 
 namespace lupinsill::control_settings {
 
-// The names that the settings state and that events then refer to.
+// Names from the settings, by index. Messages refer to room types, tenants and node kinds by these names.
 struct Names {
   std::vector<std::string> roomTypes;
   std::vector<std::string> parties;
   std::vector<std::string> kinds;
 };
 
-// The figures of a load report, by the names that both wires give them.
+// The fields of a load report, by their names in both protocols.
 struct LoadReportField {
   const char* name;
   std::optional<double> LoadReport::*into;
@@ -25,6 +26,7 @@
 inline constexpr LoadReportField loadReportFields[] = {
     {"cpu", &LoadReport::linkShare}, {"x0", &LoadReport::linkUse}, {"x1", &LoadReport::uplinkUse}};
 
-ControlSettings parseControlSettings(const Json& options, Names& names);
+// Throws InvalidInput, with the field in its text.
+ControlSettings parseControlSettings(const Json& json, Names& names);
 
 }  // namespace lupinsill::control_settings
--- a/src/control_settings/json_reader.cpp
+++ b/src/control_settings/json_reader.cpp
@@ -5,45 +5,46 @@
 
 namespace lupinsill::control_settings {
 
-void failInvalid(const std::string& what, const std::string& why) { throw InvalidInput(what + ": " + why); }
+void failInvalid(const std::string& field, const std::string& reason) {
+  throw InvalidInput(field + ": " + reason);
+}
 
-std::int64_t parseInteger(const Json& value, const std::string& what, std::int64_t least, std::int64_t most) {
-  std::int64_t whole = 0;
+std::int64_t parseInteger(const Json& value, const std::string& field, std::int64_t min, std::int64_t max) {
+  std::int64_t integer = 0;
   if (value.is_number_unsigned()) {
-    const auto big = value.get<std::uint64_t>();
-    if (big > static_cast<std::uint64_t>(std::numeric_limits<std::int64_t>::max()))
-      failInvalid(what, "out of range");
-    whole = static_cast<std::int64_t>(big);
+    const auto unsignedValue = value.get<std::uint64_t>();
+    if (unsignedValue > static_cast<std::uint64_t>(std::numeric_limits<std::int64_t>::max()))
+      failInvalid(field, "out of range");
+    integer = static_cast<std::int64_t>(unsignedValue);
   } else if (value.is_number_integer()) {
-    whole = value.get<std::int64_t>();
+    integer = value.get<std::int64_t>();
   } else if (value.is_number_float()) {
-    const double real = value.get<double>();
-    if (!(std::abs(real) < 9e15) || real != std::floor(real)) failInvalid(what, "not a whole number");
-    whole = static_cast<std::int64_t>(real);
+    const double number = value.get<double>();
+    if (!(std::abs(number) < 9e15) || number != std::floor(number)) failInvalid(field, "not a whole number");
+    integer = static_cast<std::int64_t>(number);
   } else {
-    failInvalid(what, "not a number");
+    failInvalid(field, "not a number");
   }
-  if (whole < least || whole > most) failInvalid(what, "out of range");
-  return whole;
+  if (integer < min || integer > max) failInvalid(field, "out of range");
+  return integer;
 }
 
-double parseNumber(const Json& value, const std::string& what) {
-  if (!value.is_number()) failInvalid(what, "not a number");
-  const double real = value.get<double>();
-  if (!std::isfinite(real)) failInvalid(what, "out of range");
-  return real;
+double parseNumber(const Json& value, const std::string& field) {
+  if (!value.is_number()) failInvalid(field, "not a number");
+  const double number = value.get<double>();
+  if (!std::isfinite(number)) failInvalid(field, "out of range");
+  return number;
 }
 
-std::string parseText(const Json& value, const std::string& what) {
-  if (!value.is_string()) failInvalid(what, "not text");
+std::string parseText(const Json& value, const std::string& field) {
+  if (!value.is_string()) failInvalid(field, "not text");
   return value.get<std::string>();
 }
 
-Micros parseNanoseconds(const Json& nanos, const std::string& what) {
-  return parseInteger(nanos, what) / 1000;
+Micros parseNanoseconds(const Json& value, const std::string& field) {
+  return parseInteger(value, field) / 1000;
 }
 
-// A key that is absent or null keeps what stands there already.
 const Json* findMember(const Json& object, const char* key) {
   if (!object.is_object()) return nullptr;
   const auto it = object.find(key);
@@ -69,16 +70,16 @@
   if (const Json* value = findMember(object, key)) into = parseText(*value, key);
 }
 const Json& listIn(const Json& object, const char* key) {
-  static const Json none = Json::array();
+  static const Json empty = Json::array();
   const Json* value = findMember(object, key);
-  if (value == nullptr) return none;
+  if (value == nullptr) return empty;
   if (!value->is_array()) failInvalid(key, "not an array");
   return *value;
 }
 const Json& objectIn(const Json& object, const char* key) {
-  static const Json none = Json::object();
+  static const Json empty = Json::object();
   const Json* value = findMember(object, key);
-  if (value == nullptr) return none;
+  if (value == nullptr) return empty;
   if (!value->is_object()) failInvalid(key, "not an object");
   return *value;
 }
--- a/src/discovery/dns.h
+++ b/src/discovery/dns.h
@@ -1,5 +1,5 @@
-// The name server's form of the list: a question for SRV records and the answer to it, read by the C
-// library's parser. What an answer is worth is fleet/inquiry's and fleet/membership's business.
+// The node list as DNS messages: builds the query for SRV records and parses the answer with the C library's
+// resolver functions. fleet/list_poller decides when to query, fleet/membership which lists to accept.
 #pragma once
 
 #include <cstdint>
@@ -10,24 +10,26 @@
 
 namespace lupinsill::discovery {
 
-struct Row {  // one media node as the name server words it
+// One media node of the list.
+struct NodeRecord {
   std::string name, zone, kind, host;
   int port = 0;
   int cell = 0;
   bool draining = false;
   double weight = 1;
-  std::int64_t startedMs = 0;  // Unix milliseconds; 0: long ago
+  std::int64_t startedMs = 0;  // start time, Unix milliseconds; 0: unknown, long ago
 };
 
+// A complete answer. `serial` is the version of the list.
 struct Answer {
-  std::uint16_t number = 0;
+  std::uint16_t queryId = 0;
   std::uint32_t serial = 0;
-  std::vector<Row> rows;
+  std::vector<NodeRecord> nodes;
 };
 
-std::string question(std::uint16_t number, const std::string& service);
-// Nothing where the bytes are no whole answer to that question, or tell of a failure. `number` is set
-// as soon as it can be read.
-std::optional<Answer> read(std::string_view bytes, const std::string& service);
+// Returns the bytes of a query for the SRV records of the service.
+std::string buildQuery(std::uint16_t queryId, const std::string& service);
+// Returns nothing if the bytes are not a complete, successful answer to that query.
+std::optional<Answer> parseAnswer(std::string_view bytes, const std::string& service);
 
 }  // namespace lupinsill::discovery
--- a/src/jsonl/message.h
+++ b/src/jsonl/message.h
@@ -1,6 +1,6 @@
-// The platform's messages: one JSON object a line, as viewers, directors and media nodes speak it. Bytes to
-// messages and back, nothing else: no socket, no clock. What a line may hold is checked here once for both
-// sides, so that only what was understood is ever written anew. Source: the operators' protocol page.
+// Messages of the operators' protocol that viewers, directors and media nodes exchange: one JSON object per
+// line. This package parses, validates and serializes them; it uses no socket and no clock. Because lines are
+// validated here for both sides, only fields that were understood are ever sent on.
 #pragma once
 
 #include <cstddef>
@@ -12,52 +12,61 @@
 
 namespace lupinsill::jsonl {
 
-constexpr std::size_t longest = 16 * 1024;  // of one message, its line feed included
+constexpr std::size_t maxMessageBytes = 16 * 1024;  // including the line feed
 
+// Operations, named as in the protocol; `other` is any operation that is not known here.
 enum class Op { offer, ringing, accept, end, ended, test, tested, info, redirect, set, other };
 
-// Causes that have a meaning of their own.
-namespace cause {
-constexpr int passed = 1, over = 16, cancelled = 31, full = 34, broken = 41, error = 47, invalid = 100,
-              notSent = 102;
+// Reason codes of the protocol (the `why` field) that are interpreted here.
+namespace reason_code {
+constexpr int testPassed = 1, finished = 16, cancelled = 31, noCapacity = 34, failed = 41, nodeError = 47,
+              invalidRequest = 100, notSent = 102;
 }
 
+// One protocol message.
 struct Message {
   Op op = Op::other;
-  std::string call;                         // 16 hex digits, passed on as they came
-  std::map<std::string, std::string> with;  // numbers as they were written
-  int why = 0;
-  std::optional<std::string> desc;
+  std::string call;                           // call ID: 16 hex digits, passed on unchanged
+  std::map<std::string, std::string> fields;  // the `with` object; numbers keep their original spelling
+  int reasonCode = 0;                         // the `why` field
+  std::optional<std::string> description;     // the `desc` field: the session description
 
+  // Returns the value of a field, or null if it is absent.
   const std::string* find(const std::string& field) const {
-    const auto it = with.find(field);
-    return it == with.end() ? nullptr : &it->second;
+    const auto it = fields.find(field);
+    return it == fields.end() ? nullptr : &it->second;
   }
 };
 
-struct BadLine : std::runtime_error {
+// Thrown for input that is not a valid message.
+struct ParseError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-Message parse(std::string_view line);  // without its line feed; throws BadLine
-std::string bytesOf(const Message& message);
+// Parses a line without its line feed; throws ParseError.
+Message parse(std::string_view line);
+// Returns the message as one line, line feed included.
+std::string serialize(const Message& message);
 
-// Cuts what came in on one connection into messages. After a throw nothing that follows can be told apart.
+// Splits the byte stream of one connection into messages. After next() has thrown, the position in the stream
+// is lost and the connection cannot be used any more.
 class Reader {
  public:
-  void feed(std::string_view bytes) { held_ += bytes; }
+  void feed(std::string_view bytes) { buffer_ += bytes; }
+  // Returns the next complete message, or nothing until more bytes are fed. Throws ParseError.
   std::optional<Message> next();
-  bool empty() const { return held_.size() == read_; }
+  // Whether no partial message is buffered.
+  bool empty() const { return buffer_.size() == consumed_; }
 
  private:
-  std::string held_;
-  std::size_t read_ = 0;
+  std::string buffer_;
+  std::size_t consumed_ = 0;
 };
 
-// A whole text as a number within bounds, or nothing.
-std::optional<double> realOf(const std::string& text, double least, double most);
-std::optional<long long> wholeOf(const std::string& text, long long least, long long most);
-// `home:4;copies:3`; throws BadLine where it has another form.
-std::map<std::string, std::string> pairsOf(std::string_view text);
+// Parses the whole text as a number in [min, max]; returns nothing if it is anything else.
+std::optional<double> parseNumber(const std::string& text, double min, double max);
+std::optional<long long> parseInteger(const std::string& text, long long min, long long max);
+// Parses a list of the form `home:4;copies:3`; throws ParseError for any other form.
+std::map<std::string, std::string> parsePairs(std::string_view text);
 
 }  // namespace lupinsill::jsonl
--- a/src/net/handles.cpp
+++ b/src/net/handles.cpp
@@ -76,8 +76,8 @@
 }
 
 std::int64_t unixNow() {
-  static const std::int64_t ahead = wallNow() - monotonicNow();
-  return ahead + monotonicNow();
+  static const std::int64_t offset = wallNow() - monotonicNow();
+  return offset + monotonicNow();
 }
 
 }  // namespace lupinsill::net
--- a/src/net/tls.cpp
+++ b/src/net/tls.cpp
@@ -12,7 +12,7 @@
 namespace lupinsill::net {
 namespace {
 
-std::string whyNot() {
+std::string openSslError() {
   char text[200] = "unknown";
   if (const unsigned long code = ERR_get_error(); code != 0) ERR_error_string_n(code, text, sizeof text);
   ERR_clear_error();
@@ -23,50 +23,51 @@
 
 Tls::Tls(Side side, TlsFiles files, std::string protocol)
     : side_(side), files_(std::move(files)), protocol_(std::move(protocol)) {
-  if (!protocol_.empty()) offered_ = std::string(1, static_cast<char>(protocol_.size())) + protocol_;
-  context_ = make();
+  if (!protocol_.empty()) alpnProtocols_ = std::string(1, static_cast<char>(protocol_.size())) + protocol_;
+  context_ = makeContext();
 }
 
 void Tls::takeOver(Tls& other) {
   files_ = other.files_;
   context_ = std::move(other.context_);
-  // What the other one's handshakes would have asked is asked here from now on.
-  if (side_ == Side::server && !protocol_.empty()) SSL_CTX_set_alpn_select_cb(context_.get(), choose, this);
+  // The ALPN callback of the context still refers to `other`.
+  if (side_ == Side::server && !protocol_.empty())
+    SSL_CTX_set_alpn_select_cb(context_.get(), selectAlpn, this);
 }
 
-Tls::Context Tls::make() const {
+Tls::Context Tls::makeContext() const {
   ERR_clear_error();
   Context context(SSL_CTX_new(side_ == Side::server ? TLS_server_method() : TLS_client_method()));
-  if (!context) throw TlsError("TLS cannot start: " + whyNot());
+  if (!context) throw TlsError("TLS cannot start: " + openSslError());
   SSL_CTX_set_min_proto_version(context.get(), TLS1_2_VERSION);
   SSL_CTX_set_mode(context.get(), SSL_MODE_RELEASE_BUFFERS);
   if (!files_.certificate.empty()) {
     if (SSL_CTX_use_certificate_chain_file(context.get(), files_.certificate.c_str()) != 1)
-      throw TlsError(files_.certificate + ": certificate cannot be used: " + whyNot());
-    // Refuses as well, against a certificate that was renewed while its key was not, what does not fit it.
+      throw TlsError(files_.certificate + ": certificate cannot be used: " + openSslError());
+    // Also fails if the key does not match the certificate, as when only the certificate was renewed.
     if (SSL_CTX_use_PrivateKey_file(context.get(), files_.key.c_str(), SSL_FILETYPE_PEM) != 1)
-      throw TlsError(files_.key + ": key cannot be used: " + whyNot());
+      throw TlsError(files_.key + ": key cannot be used: " + openSslError());
   }
   if (!files_.authority.empty() &&
       SSL_CTX_load_verify_locations(context.get(), files_.authority.c_str(), nullptr) != 1)
-    throw TlsError(files_.authority + ": authority cannot be used: " + whyNot());
+    throw TlsError(files_.authority + ": authority cannot be used: " + openSslError());
   if (side_ == Side::client)
     SSL_CTX_set_verify(context.get(), SSL_VERIFY_PEER, nullptr);
   else if (!files_.authority.empty())
     SSL_CTX_set_verify(context.get(), SSL_VERIFY_PEER | SSL_VERIFY_FAIL_IF_NO_PEER_CERT, nullptr);
   if (side_ == Side::server) {
-    // One protocol a listener: a client that offers others alone is in the wrong place, and hears so now.
-    if (!protocol_.empty()) SSL_CTX_set_alpn_select_cb(context.get(), choose, const_cast<Tls*>(this));
-  } else if (!offered_.empty()) {
-    SSL_CTX_set_alpn_protos(context.get(), reinterpret_cast<const unsigned char*>(offered_.data()),
-                            static_cast<unsigned>(offered_.size()));
+    // One protocol per listener: the handshake fails for a client that offers only other protocols.
+    if (!protocol_.empty()) SSL_CTX_set_alpn_select_cb(context.get(), selectAlpn, const_cast<Tls*>(this));
+  } else if (!alpnProtocols_.empty()) {
+    SSL_CTX_set_alpn_protos(context.get(), reinterpret_cast<const unsigned char*>(alpnProtocols_.data()),
+                            static_cast<unsigned>(alpnProtocols_.size()));
   }
   return context;
 }
 
-int Tls::choose(SSL*, const unsigned char** out, unsigned char* outSize, const unsigned char* in,
-                unsigned inSize, void* me) {
-  const std::string& offered = static_cast<const Tls*>(me)->offered_;
+int Tls::selectAlpn(SSL*, const unsigned char** out, unsigned char* outSize, const unsigned char* in,
+                    unsigned inSize, void* self) {
+  const std::string& offered = static_cast<const Tls*>(self)->alpnProtocols_;
   unsigned char* chosen = nullptr;
   if (SSL_select_next_proto(&chosen, outSize, reinterpret_cast<const unsigned char*>(offered.data()),
                             static_cast<unsigned>(offered.size()), in, inSize) != OPENSSL_NPN_NEGOTIATED)
@@ -86,7 +87,7 @@
     evutil_closesocket(fd);
     return nullptr;
   }
-  // A peer that closes without TLS's own goodbye closes all the same.
+  // Treat a close without a TLS close_notify as a normal close.
   bufferevent_openssl_set_allow_dirty_shutdown(bufferEvent.get(), 1);
   return bufferEvent;
 }
--- a/src/net/tls.h
+++ b/src/net/tls.h
@@ -1,7 +1,5 @@
-// TLS on libevent's OpenSSL bufferevents, for players' listeners and for connections to media nodes. TLS 1.2
-// and up. A reload replaces the certificates for connections from then on; those that stand keep theirs.
-// Errors: TlsError with one line that names the file, at the start and on reload (the old ones then stay in
-// force).
+// TLS 1.2 or later on libevent's OpenSSL bufferevents, for players' listeners and connections to media nodes.
+// A reload replaces the certificates for new connections; established ones keep theirs.
 #pragma once
 
 #include <openssl/ssl.h>
@@ -14,30 +12,36 @@
 
 namespace lupinsill::net {
 
+// Thrown at start and on reload for unusable files; the text is one line that names the file. After a failed
+// reload the previous certificates stay in use.
 struct TlsError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
+// Paths of PEM files.
 struct TlsFiles {
-  std::string certificate;  // PEM, the chain; empty: shows none
-  std::string key;          // PEM
-  std::string authority;    // PEM; empty: a server asks for no certificate of its clients
+  std::string certificate;  // certificate chain; empty: presents none
+  std::string key;          // private key of the certificate
+  std::string authority;    // trusted CAs; empty: a server requests no client certificates
   bool empty() const { return certificate.empty() && authority.empty(); }
 };
 
+// The TLS configuration of one listener or of outgoing connections.
 class Tls {
  public:
   enum class Side { server, client };
-  // `protocol`: what ALPN offers or insists on, "h2" or "http/1.1"; empty: none.
+  // `protocol`: the ALPN protocol that a client offers or a server requires, "h2" or "http/1.1"; empty: no
+  // ALPN.
   Tls(Side side, TlsFiles files, std::string protocol);
   Tls(const Tls&) = delete;
   Tls& operator=(const Tls&) = delete;
-  // The other's certificates from now on.
+  // Takes the certificates of `other` into use for new connections; `other` is unusable afterwards.
   void takeOver(Tls& other);
 
-  // Server: null where the socket cannot be served.
+  // Server side of an accepted socket. Returns null, with the socket closed, on failure.
   BufferEvent accept(event_base* base, evutil_socket_t fd) const;
-  // Client: verifies the peer against the authority and the host it was asked for.
+  // Client side: connects and verifies the peer against the authority and the host. Returns null if the
+  // address is invalid or the connection cannot be started.
   BufferEvent connect(event_base* base, const std::string& host, int port) const;
 
  private:
@@ -45,14 +49,14 @@
     void operator()(SSL_CTX* context) const { SSL_CTX_free(context); }
   };
   using Context = std::unique_ptr<SSL_CTX, Free>;
-  Context make() const;
-  static int choose(SSL* ssl, const unsigned char** out, unsigned char* outSize, const unsigned char* in,
-                    unsigned inSize, void* me);
+  Context makeContext() const;
+  static int selectAlpn(SSL* ssl, const unsigned char** out, unsigned char* outSize, const unsigned char* in,
+                        unsigned inSize, void* self);
 
   Side side_;
   TlsFiles files_;
   std::string protocol_;
-  std::string offered_;  // as ALPN wants it: a length, then the name
+  std::string alpnProtocols_;  // in ALPN wire format: a length byte, then the name
   Context context_;
 };
 
--- a/src/platform/link.h
+++ b/src/platform/link.h
@@ -1,5 +1,4 @@
-// One connection on which JSON lines are spoken, to a viewer or to a media node. What can't be read closes
-// it. After `down` it says and hears nothing more; its owner frees it later, out of its callbacks.
+// A TCP connection to a viewer or a media node that carries messages as JSON lines.
 #pragma once
 
 #include <cstddef>
@@ -11,43 +10,48 @@
 
 namespace lupinsill::platform {
 
-class Link {
+// Sends and receives messages on one connection. A line that cannot be parsed closes it. After
+// Handler::onClosed it neither sends nor receives; the owner frees it later, never from one of its callbacks.
+class MessageStream {
  public:
-  enum class End { closed, broken, refused, neverUp, unreadable };
+  // Why the connection closed. connectFailed: it was never established, for another reason than `refused`.
+  enum class CloseReason { closedByPeer, connectionError, refused, connectFailed, invalidMessage };
   struct Handler {
     virtual ~Handler() = default;
-    virtual void onUp(Link& link) = 0;
-    virtual void onMessage(Link& link, jsonl::Message& message) = 0;
-    virtual void onDown(Link& link, End how) = 0;
+    virtual void onConnected(MessageStream& stream) = 0;
+    virtual void onMessage(MessageStream& stream, jsonl::Message& message) = 0;
+    virtual void onClosed(MessageStream& stream, CloseReason reason) = 0;
   };
-  // `name`: what the log calls it.
-  Link(Handler& handler, net::BufferEvent bufferEvent, bool isUp, std::string name);
-  Link(const Link&) = delete;
-  virtual ~Link() = default;
-
-  // False: nothing of it left, and the connection is gone.
-  bool say(const jsonl::Message& message);
-  // Whether it is up and the other side has not closed it, as far as this machine knows.
-  bool sound();
-  void close();  // without telling `down`; what was said before still leaves
-  bool isUp() const { return up_ && bufferEvent_; }
-  bool unsent() const;  // something said has not been handed to the machine yet
-  bool midMessage() const { return bufferEvent_ && !reader_.empty(); }
-  bool isDead() const { return !bufferEvent_; }
+  // `connected`: whether the connection is established already. `name` identifies it in the log.
+  MessageStream(Handler& handler, net::BufferEvent bufferEvent, bool connected, std::string name);
+  MessageStream(const MessageStream&) = delete;
+  virtual ~MessageStream() = default;
+
+  // Returns false if nothing was sent and the connection cannot be used any more, or its peer does not read.
+  bool send(const jsonl::Message& message);
+  // Whether it is connected and no close or reset by the peer is known to the operating system.
+  bool isUsable();
+  // Closes without calling Handler::onClosed. Bytes already passed to the operating system are still sent.
+  void close();
+  bool isConnected() const { return connected_ && bufferEvent_; }
+  // Whether bytes wait here that the operating system has not taken yet.
+  bool hasUnsentBytes() const;
+  bool hasPartialMessage() const { return bufferEvent_ && !reader_.empty(); }
+  bool isClosed() const { return !bufferEvent_; }
 
  private:
-  static void onRead(bufferevent*, void* me);
-  static void onEvent(bufferevent*, short what, void* me);
-  void end(End how);
+  static void onRead(bufferevent*, void* self);
+  static void onEvent(bufferevent*, short events, void* self);
+  void finish(CloseReason reason);
 
   Handler& handler_;
   net::BufferEvent bufferEvent_;
-  bool up_;
+  bool connected_;
   std::string name_;
   jsonl::Reader reader_;
 };
 
-// Whether every message is written to the log; set once at start.
+// Sets whether every message is logged; called once at start.
 void traceMessages(bool on);
 
 }  // namespace lupinsill::platform
--- a/src/platform/nodes.cpp
+++ b/src/platform/nodes.cpp
@@ -7,59 +7,61 @@
 
 using jsonl::Message;
 using jsonl::Op;
-namespace cause = jsonl::cause;
+namespace reason_code = jsonl::reason_code;
 
 namespace {
 
-constexpr std::size_t unsaidMost = 10'000;  // releases that wait for a connection to one node
+constexpr std::size_t maxQueuedMessages = 10'000;  // per node, while none of its connections is up
 
 }  // namespace
 
-struct Nodes::Wire final : Link::Handler {
-  Wire(Nodes& nodes, Node& at, net::BufferEvent bufferEvent, std::string name)
+struct Nodes::NodeConnection final : MessageStream::Handler {
+  NodeConnection(Nodes& nodes, Node& nodeState, net::BufferEvent bufferEvent, std::string name)
       : owner(nodes),
-        node(at),
-        since(net::unixNow()),
-        link(*this, std::move(bufferEvent), false, std::move(name)) {}
-  void onUp(Link&) override { owner.up(*this); }
-  void onMessage(Link&, Message& message) override { owner.heard(*this, message); }
-  void onDown(Link&, Link::End how) override { owner.down(*this, how); }
+        node(nodeState),
+        lastActivity(net::unixNow()),
+        stream(*this, std::move(bufferEvent), false, std::move(name)) {}
+  void onConnected(MessageStream&) override { owner.handleConnected(*this); }
+  void onMessage(MessageStream&, Message& message) override { owner.handleMessage(*this, message); }
+  void onClosed(MessageStream&, MessageStream::CloseReason reason) override {
+    owner.handleClosed(*this, reason);
+  }
   Nodes& owner;
   Node& node;
-  Micros since;                // of connecting, then of the last use
-  bool spent = false;          // takes no new set-up: an answer on it stayed out
-  std::vector<Join*> waiting;  // for it to come up
-  std::vector<Join*> open;     // written, not answered
-  std::vector<Join*> standing;
-  Link link;
+  Micros lastActivity;                 // when connecting began, later when it was last used
+  bool draining = false;               // takes no new offers; closed once no answer is pending
+  std::vector<Join*> awaitingConnect;  // not written yet: the connection is not up
+  std::vector<Join*> pending;          // written and not answered
+  std::vector<Join*> established;      // accepted here and still playing
+  MessageStream stream;
 };
 
 struct Nodes::Node {
-  Node(const fleet::NodeEndpoint& listed, Micros now) : endpoint(listed), pulse(now) {}
+  Node(const fleet::NodeEndpoint& nodeEndpoint, Micros now) : endpoint(nodeEndpoint), liveness(now) {}
   fleet::NodeEndpoint endpoint;
-  fleet::LivenessCheck pulse;
-  bool gone = false;
-  std::vector<std::unique_ptr<Wire>> wires;  // the newest last
-  std::map<std::string, Join*> joins;        // by their calls' ids
-  std::vector<Message> unsaid;               // for the next connection that comes up
+  fleet::LivenessCheck liveness;
+  bool removed = false;                                      // from the node list
+  std::vector<std::unique_ptr<NodeConnection>> connections;  // newest last
+  std::map<std::string, Join*> joins;                        // by call ID
+  std::vector<Message> queuedMessages;                       // sent on the next connection that comes up
 };
 
 struct Nodes::Join {
-  session::SetUp order;
+  session::SetUp command;
   Call call;
   Node* node = nullptr;
-  Wire* wire = nullptr;
-  bool written = false;
-  bool began = false;
-  Micros beganAt = 0;
+  NodeConnection* connection = nullptr;
+  bool written = false;  // the offer may have reached the node
+  bool started = false;  // the node accepted it
+  Micros startedAt = 0;
 };
 
-Nodes::Nodes(event_base* base, Handler& handler, Limits bounds)
-    : base_(base), handler_(handler), bounds_(bounds) {}
+Nodes::Nodes(event_base* base, Handler& handler, Limits limits)
+    : base_(base), handler_(handler), limits_(limits) {}
 Nodes::~Nodes() = default;
 
-Nodes::Join* Nodes::find(session::JoinId key) {
-  const auto it = joins_.find(key);
+Nodes::Join* Nodes::findJoin(session::JoinId id) {
+  const auto it = joins_.find(id);
   return it == joins_.end() ? nullptr : it->second.get();
 }
 
@@ -72,440 +74,462 @@
 
 // ---- connections ----
 
-// Closes the connection used longest ago that carries nothing; of a node with subscriptions one stays, on
-// which it can tell their ends.
-bool Nodes::makeRoom(const Node& wanting) {
-  Wire* oldest = nullptr;
+// Closes the least recently used connection without waiting or pending joins. A node with subscriptions keeps
+// one connection, on which it can report their ends.
+bool Nodes::evictIdleConnection(const Node& requester) {
+  NodeConnection* oldest = nullptr;
   for (auto& [id, node] : nodes_) {
-    if (node.get() == &wanting) continue;
+    if (node.get() == &requester) continue;
     const std::size_t keep = node->joins.empty() ? 0 : 1;
-    if (node->wires.size() <= keep) continue;
-    for (const auto& wire : node->wires)
-      if (wire->waiting.empty() && wire->open.empty() && (oldest == nullptr || wire->since < oldest->since))
-        oldest = wire.get();
+    if (node->connections.size() <= keep) continue;
+    for (const auto& connection : node->connections)
+      if (connection->awaitingConnect.empty() && connection->pending.empty() &&
+          (oldest == nullptr || connection->lastActivity < oldest->lastActivity))
+        oldest = connection.get();
   }
   if (oldest == nullptr) return false;
-  retire(*oldest);
+  removeConnection(*oldest);
   return true;
 }
 
-Nodes::Wire* Nodes::open(Node& node) {
-  if (wires_ >= bounds_.connections && !makeRoom(node)) return nullptr;
+Nodes::NodeConnection* Nodes::openConnection(Node& node) {
+  if (connectionCount_ >= limits_.maxConnections && !evictIdleConnection(node)) return nullptr;
   ++statistics_.connects;
   net::BufferEvent bufferEvent = net::connectTo(base_, node.endpoint.host, node.endpoint.port);
   if (!bufferEvent) return nullptr;
-  ++wires_;
-  node.wires.push_back(std::make_unique<Wire>(
+  ++connectionCount_;
+  node.connections.push_back(std::make_unique<NodeConnection>(
       *this, node, std::move(bufferEvent),
       "node-" + std::to_string(node.endpoint.node) + "/" + std::to_string(statistics_.connects)));
-  return node.wires.back().get();
+  return node.connections.back().get();
 }
 
-// An idle connection, the one used last; else a new one; else, out of descriptors, the one with the least.
-Nodes::Wire* Nodes::pick(Node& node) {
-  Wire* idle = nullptr;
-  Wire* least = nullptr;
-  const auto load = [](const Wire& w) { return w.open.size() + w.waiting.size(); };
-  for (const auto& wire : node.wires) {
-    if (wire->spent || wire->link.isDead()) continue;
-    if (wire->link.isUp() && load(*wire) == 0 && (idle == nullptr || wire->since > idle->since))
-      idle = wire.get();
-    if (least == nullptr || load(*wire) < load(*least)) least = wire.get();
+// Returns the most recently used idle connection; without one, a new connection; when the connection limit
+// forbids that, the least loaded one.
+Nodes::NodeConnection* Nodes::chooseConnection(Node& node) {
+  NodeConnection* idle = nullptr;
+  NodeConnection* leastLoaded = nullptr;
+  const auto load = [](const NodeConnection& connection) {
+    return connection.pending.size() + connection.awaitingConnect.size();
+  };
+  for (const auto& connection : node.connections) {
+    if (connection->draining || connection->stream.isClosed()) continue;
+    if (connection->stream.isConnected() && load(*connection) == 0 &&
+        (idle == nullptr || connection->lastActivity > idle->lastActivity))
+      idle = connection.get();
+    if (leastLoaded == nullptr || load(*connection) < load(*leastLoaded)) leastLoaded = connection.get();
   }
   if (idle != nullptr) return idle;
-  if (Wire* fresh = open(node)) return fresh;
-  return least;
+  if (NodeConnection* opened = openConnection(node)) return opened;
+  return leastLoaded;
 }
 
-void Nodes::up(Wire& wire) {
-  wire.since = net::unixNow();
-  wire.node.pulse.heard(net::unixNow());
-  for (const Message& message : std::exchange(wire.node.unsaid, {})) wire.link.say(message);
-  cameUp_ = true;
+void Nodes::handleConnected(NodeConnection& connection) {
+  connection.lastActivity = net::unixNow();
+  connection.node.liveness.heard(net::unixNow());
+  for (const Message& message : std::exchange(connection.node.queuedMessages, {}))
+    connection.stream.send(message);
+  connectionCameUp_ = true;
 }
 
-// Guards against a join that leaves for a viewer whose going was read in the same pass of the loop, after
-// the connection came up: what waited is written once the turn has heard of all that came.
+// A viewer's leave may be read in the same pass of the event loop in which the connection came up. Waiting
+// joins are therefore written only after the turn has processed everything that was read.
 void Nodes::writeWaiting() {
-  if (!std::exchange(cameUp_, false)) return;
-  std::vector<Wire*> ready;
+  if (!std::exchange(connectionCameUp_, false)) return;
+  std::vector<NodeConnection*> ready;
   for (auto& [id, node] : nodes_)
-    for (const auto& wire : node->wires)
-      if (wire->link.isUp() && !wire->waiting.empty()) ready.push_back(wire.get());
-  // A wire that goes meanwhile is kept until the next tick; what waited for it has gone elsewhere by then.
-  for (Wire* wire : ready)
-    while (!wire->waiting.empty() && wire->link.isUp()) {
-      Join& join = *wire->waiting.front();
-      wire->waiting.erase(wire->waiting.begin());
-      join.wire = nullptr;
-      if (wire->link.sound()) {
-        write(join, *wire);
+    for (const auto& connection : node->connections)
+      if (connection->stream.isConnected() && !connection->awaitingConnect.empty())
+        ready.push_back(connection.get());
+  // A connection that closes in this loop stays allocated until the next tick, and its waiting joins have
+  // been reassigned by then.
+  for (NodeConnection* connection : ready)
+    while (!connection->awaitingConnect.empty() && connection->stream.isConnected()) {
+      Join& join = *connection->awaitingConnect.front();
+      connection->awaitingConnect.erase(connection->awaitingConnect.begin());
+      join.connection = nullptr;
+      if (connection->stream.isUsable()) {
+        writeOffer(join, *connection);
       } else {
-        unfit(*wire);
-        place(join);
+        discardStale(*connection);
+        assignConnection(join);
       }
     }
 }
 
-// Takes it out of its node, at once; it is freed once nothing runs in it.
-void Nodes::retire(Wire& wire) {
-  wire.link.close();
-  for (Join* join : std::exchange(wire.standing, {})) join->wire = nullptr;
-  auto& wires = wire.node.wires;
-  const auto it =
-      std::find_if(wires.begin(), wires.end(), [&](const auto& one) { return one.get() == &wire; });
-  if (it == wires.end()) return;
-  dead_.push_back(std::move(*it));
-  wires.erase(it);
-  --wires_;
+// Removes the connection from its node at once. The object is freed in the next tick, since one of its
+// callbacks may still be running.
+void Nodes::removeConnection(NodeConnection& connection) {
+  connection.stream.close();
+  for (Join* join : std::exchange(connection.established, {})) join->connection = nullptr;
+  auto& connections = connection.node.connections;
+  const auto it = std::find_if(connections.begin(), connections.end(),
+                               [&](const auto& other) { return other.get() == &connection; });
+  if (it == connections.end()) return;
+  closedConnections_.push_back(std::move(*it));
+  connections.erase(it);
+  --connectionCount_;
 }
 
-void Nodes::down(Wire& wire, Link::End how) {
-  if (how == Link::End::unreadable) ++statistics_.unreadable;
-  if (how == Link::End::refused || how == Link::End::neverUp) return failed(wire, how == Link::End::refused);
-  ++statistics_.lost;
-  Node& node = wire.node;
-  const auto waiting = std::exchange(wire.waiting, {});
-  const auto open = std::exchange(wire.open, {});
-  retire(wire);
-  for (Join* join : open) {
-    const session::JoinId key = join->order.join;
-    // It may have run: if so it stands there with nobody behind it.
+void Nodes::handleClosed(NodeConnection& connection, MessageStream::CloseReason reason) {
+  if (reason == MessageStream::CloseReason::invalidMessage) ++statistics_.invalidMessages;
+  if (reason == MessageStream::CloseReason::refused || reason == MessageStream::CloseReason::connectFailed)
+    return handleConnectFailed(connection, reason == MessageStream::CloseReason::refused);
+  ++statistics_.connectionsLost;
+  Node& node = connection.node;
+  const auto awaitingConnect = std::exchange(connection.awaitingConnect, {});
+  const auto pending = std::exchange(connection.pending, {});
+  removeConnection(connection);
+  for (Join* join : pending) {
+    const session::JoinId id = join->command.join;
+    // The node may have accepted the offer; the subscription would then play there without a viewer.
     const std::string call = join->call.id;
-    finish(*join);
-    release(node, call);
-    handler_.joinEnded(key, Outcome::reset, {}, false);
+    removeJoin(*join);
+    releaseOrphan(node, call);
+    handler_.joinEnded(id, Outcome::reset, {}, false);
   }
-  for (Join* join : waiting) place(*join);
+  for (Join* join : awaitingConnect) assignConnection(*join);
 }
 
-// A connection that never came up: nothing of what waited for it has left.
-void Nodes::failed(Wire& wire, bool refused) {
-  ++statistics_.failed;
-  Node& node = wire.node;
-  const auto waiting = std::exchange(wire.waiting, {});
-  retire(wire);
-  node.pulse.failed(refused);
-  for (Join* join : waiting) {
-    const session::JoinId key = join->order.join;
-    finish(*join);
-    handler_.joinEnded(key, Outcome::connectFailed, {}, false);
+// The connection never came up, so no join that waited for it was written.
+void Nodes::handleConnectFailed(NodeConnection& connection, bool refused) {
+  ++statistics_.connectsFailed;
+  Node& node = connection.node;
+  const auto awaitingConnect = std::exchange(connection.awaitingConnect, {});
+  removeConnection(connection);
+  node.liveness.failed(refused);
+  for (Join* join : awaitingConnect) {
+    const session::JoinId id = join->command.join;
+    removeJoin(*join);
+    handler_.joinEnded(id, Outcome::connectFailed, {}, false);
   }
 }
 
-// On the connection given, else on any, else on the next that comes up; one is opened.
-void Nodes::say(Node& node, const Message& message, Wire* first) {
-  if (first != nullptr && first->link.say(message)) return;
-  for (auto it = node.wires.rbegin(); it != node.wires.rend(); ++it)
-    if ((*it)->link.isUp() && (*it)->link.say(message)) return;
-  if (node.unsaid.size() < unsaidMost) node.unsaid.push_back(message);
-  if (std::none_of(node.wires.begin(), node.wires.end(),
-                   [](const auto& wire) { return !wire->link.isUp() && !wire->link.isDead(); }))
-    open(node);
+// Sends on the preferred connection, or else on any other that is up. If there is none, queues the message
+// for the next connection that comes up and opens one if none is connecting.
+void Nodes::sendToNode(Node& node, const Message& message, NodeConnection* preferred) {
+  if (preferred != nullptr && preferred->stream.send(message)) return;
+  for (auto it = node.connections.rbegin(); it != node.connections.rend(); ++it)
+    if ((*it)->stream.isConnected() && (*it)->stream.send(message)) return;
+  if (node.queuedMessages.size() < maxQueuedMessages) node.queuedMessages.push_back(message);
+  if (std::none_of(node.connections.begin(), node.connections.end(), [](const auto& connection) {
+        return !connection->stream.isConnected() && !connection->stream.isClosed();
+      }))
+    openConnection(node);
 }
 
-void Nodes::release(Node& node, const std::string& call) {
-  ++statistics_.orphans;
+// Tells the node to end a call that may play there without a viewer.
+void Nodes::releaseOrphan(Node& node, const std::string& call) {
+  ++statistics_.releasedOrphans;
   Message message;
   message.op = Op::end;
   message.call = call;
-  message.why = cause::over;
-  say(node, message);
+  message.reasonCode = reason_code::finished;
+  sendToNode(node, message);
 }
 
-// ---- orders ----
+// ---- commands ----
 
-void Nodes::setUp(const session::SetUp& order, const fleet::NodeEndpoint& endpoint, const Call& call) {
+void Nodes::setUp(const session::SetUp& command, const fleet::NodeEndpoint& endpoint, const Call& call) {
   Node& node = nodeOf(endpoint);
-  auto made = std::make_unique<Join>();
-  Join& join = *made;
-  join.order = order;
+  auto newJoin = std::make_unique<Join>();
+  Join& join = *newJoin;
+  join.command = command;
   join.call = call;
   join.node = &node;
-  joins_[order.join] = std::move(made);
-  place(join);
+  joins_[command.join] = std::move(newJoin);
+  assignConnection(join);
 }
 
-void Nodes::place(Join& join) {
+// Writes the join on a connection of its node, or lets it wait for one to come up.
+void Nodes::assignConnection(Join& join) {
   Node& node = *join.node;
-  // A kept connection found dead before a byte was written costs nothing but the look for another.
+  // A pooled connection may turn out to be closed by the node. Nothing was written on it yet, so another one
+  // can be tried without counting this as a failed join.
   while (true) {
-    Wire* wire = pick(node);
-    if (wire == nullptr) {
-      const session::JoinId key = join.order.join;
-      finish(join);
-      return handler_.joinEnded(key, Outcome::connectFailed, {}, false);
+    NodeConnection* connection = chooseConnection(node);
+    if (connection == nullptr) {
+      const session::JoinId id = join.command.join;
+      removeJoin(join);
+      return handler_.joinEnded(id, Outcome::connectFailed, {}, false);
     }
-    if (!wire->link.isUp()) {
-      wire->waiting.push_back(&join);
-      join.wire = wire;
+    if (!connection->stream.isConnected()) {
+      connection->awaitingConnect.push_back(&join);
+      join.connection = connection;
       return;
     }
-    if (wire->link.sound()) return write(join, *wire);
-    unfit(*wire);
+    if (connection->stream.isUsable()) return writeOffer(join, *connection);
+    discardStale(*connection);
   }
 }
 
-// A connection found dead before a byte was written: out of use at once. What is open on it hears of that
-// from the loop, in its order with the answers that came before.
-void Nodes::unfit(Wire& wire) {
-  ++statistics_.retaken;
-  wire.spent = true;
-  if (wire.open.empty() && wire.waiting.empty()) retire(wire);
+// Takes a connection out of use that the node has closed. Joins pending on it learn of the close from the
+// event loop, after any answers that arrived before it.
+void Nodes::discardStale(NodeConnection& connection) {
+  ++statistics_.staleConnections;
+  connection.draining = true;
+  if (connection.pending.empty() && connection.awaitingConnect.empty()) removeConnection(connection);
 }
 
-void Nodes::write(Join& join, Wire& wire) {
-  const session::JoinId key = join.order.join;
+// Offers the call to the node. A join that fails here or may not be written ends at once.
+void Nodes::writeOffer(Join& join, NodeConnection& connection) {
+  const session::JoinId id = join.command.join;
   Node& node = *join.node;
-  if (!handler_.mayWrite(key)) {
-    finish(join);
-    return handler_.joinEnded(key, Outcome::notSent, {}, false);
+  if (!handler_.mayWrite(id)) {
+    removeJoin(join);
+    return handler_.joinEnded(id, Outcome::notSent, {}, false);
   }
-  // An earlier join of this call here may still have its end unsaid: that must not meet the new one.
-  std::erase_if(node.unsaid, [&](const Message& message) { return message.call == join.call.id; });
+  // The end of an earlier join of this call may still be queued for this node; it would end the new join.
+  std::erase_if(node.queuedMessages, [&](const Message& message) { return message.call == join.call.id; });
   Message message;
   message.op = Op::offer;
   message.call = join.call.id;
-  message.with["class"] = join.call.room;
-  message.with["key"] = join.call.title;
-  message.with["left"] = std::to_string(std::max<Micros>(1, (join.order.until - net::unixNow()) / 1000));
-  message.with["rung"] = std::to_string(join.order.rung);
-  message.desc = join.call.desc;
-  if (!wire.link.say(message)) {
-    finish(join);
-    handler_.joinEnded(key, Outcome::connectFailed, {}, false);
-    // What else is on it ends with it, as by any other break.
-    wire.link.close();
-    return down(wire, Link::End::broken);
+  message.fields["class"] = join.call.room;
+  message.fields["key"] = join.call.title;
+  message.fields["left"] = std::to_string(std::max<Micros>(1, (join.command.until - net::unixNow()) / 1000));
+  message.fields["rung"] = std::to_string(join.command.rung);
+  message.description = join.call.description;
+  if (!connection.stream.send(message)) {
+    removeJoin(join);
+    handler_.joinEnded(id, Outcome::connectFailed, {}, false);
+    // The other joins on this connection end as after any connection error.
+    connection.stream.close();
+    return handleClosed(connection, MessageStream::CloseReason::connectionError);
   }
   join.written = true;
-  join.wire = &wire;
-  wire.since = net::unixNow();
-  wire.open.push_back(&join);
+  join.connection = &connection;
+  connection.lastActivity = net::unixNow();
+  connection.pending.push_back(&join);
   node.joins[join.call.id] = &join;
 }
 
-void Nodes::adopt(session::JoinId key, const fleet::NodeEndpoint& endpoint, const Call& call) {
+void Nodes::adopt(session::JoinId id, const fleet::NodeEndpoint& endpoint, const Call& call) {
   Node& node = nodeOf(endpoint);
-  auto made = std::make_unique<Join>();
-  Join& join = *made;
-  join.order.join = key;
+  auto newJoin = std::make_unique<Join>();
+  Join& join = *newJoin;
+  join.command.join = id;
   join.call = call;
   join.node = &node;
-  join.written = join.began = true;
+  join.written = join.started = true;
   node.joins[call.id] = &join;
-  joins_[key] = std::move(made);
+  joins_[id] = std::move(newJoin);
 }
 
-void Nodes::change(const session::ChangeRung& order) {
-  Join* join = find(order.join);
+void Nodes::changeRung(const session::ChangeRung& command) {
+  Join* join = findJoin(command.join);
   if (join == nullptr) return;
-  join->order.rung = order.rung;
+  join->command.rung = command.rung;
   if (!join->written) return;
   Message message;
   message.op = Op::set;
   message.call = join->call.id;
-  message.with["rung"] = std::to_string(order.rung);
-  say(*join->node, message, join->wire);
+  message.fields["rung"] = std::to_string(command.rung);
+  sendToNode(*join->node, message, join->connection);
 }
 
-void Nodes::tearDown(session::JoinId key) {
-  Join* join = find(key);
+void Nodes::tearDown(session::JoinId id) {
+  Join* join = findJoin(id);
   if (join == nullptr) return;
   Node& node = *join->node;
-  Wire* wire = join->wire;
-  const bool written = join->written, began = join->began;
+  NodeConnection* connection = join->connection;
+  const bool written = join->written, started = join->started;
   const std::string call = join->call.id;
-  finish(*join);
+  removeJoin(*join);
   if (!written) return;
   Message message;
   message.op = Op::end;
   message.call = call;
-  message.why = cause::over;
-  say(node, message, wire);
-  // Its answer stayed out: if that was spoilt, nothing that follows on this connection can be read.
-  if (!began && wire != nullptr) {
-    wire->spent = true;
-    if (wire->open.empty()) retire(*wire);
+  message.reasonCode = reason_code::finished;
+  sendToNode(node, message, connection);
+  // The join was never answered. If its answer was garbled, nothing after it on this connection can be
+  // parsed, so the connection takes no new offers.
+  if (!started && connection != nullptr) {
+    connection->draining = true;
+    if (connection->pending.empty()) removeConnection(*connection);
   }
 }
 
-void Nodes::withdraw(session::JoinId key) {
-  Join* join = find(key);
+void Nodes::withdraw(session::JoinId id) {
+  Join* join = findJoin(id);
   if (join == nullptr || join->written) return;
-  finish(*join);
-  handler_.joinEnded(key, Outcome::notSent, {}, false);
+  removeJoin(*join);
+  handler_.joinEnded(id, Outcome::notSent, {}, false);
 }
 
-void Nodes::finish(Join& join) {
-  if (join.wire != nullptr) {
-    std::erase(join.wire->waiting, &join);
-    std::erase(join.wire->open, &join);
-    std::erase(join.wire->standing, &join);
+void Nodes::removeJoin(Join& join) {
+  if (join.connection != nullptr) {
+    std::erase(join.connection->awaitingConnect, &join);
+    std::erase(join.connection->pending, &join);
+    std::erase(join.connection->established, &join);
   }
-  auto& known = join.node->joins;
-  if (const auto it = known.find(join.call.id); it != known.end() && it->second == &join) known.erase(it);
-  joins_.erase(join.order.join);
+  auto& joinsByCall = join.node->joins;
+  if (const auto it = joinsByCall.find(join.call.id); it != joinsByCall.end() && it->second == &join)
+    joinsByCall.erase(it);
+  joins_.erase(join.command.join);
 }
 
-// ---- what comes back ----
+// ---- messages from nodes ----
 
-LoadReport reportOf(const std::string& text) {
+LoadReport parseLoadReport(const std::string& text) {
   LoadReport report;
   try {
-    const auto pairs = jsonl::pairsOf(text);
+    const auto pairs = jsonl::parsePairs(text);
     for (const auto& [name, into] : control_settings::loadReportFields)
       if (const auto it = pairs.find(name); it != pairs.end())
-        if (const auto real = jsonl::realOf(it->second, 0, 1e6)) report.*into = *real;
-  } catch (const jsonl::BadLine&) {
+        if (const auto number = jsonl::parseNumber(it->second, 0, 1e6)) report.*into = *number;
+  } catch (const jsonl::ParseError&) {
     return {};
   }
   return report;
 }
 
-void Nodes::heard(Wire& wire, Message& message) {
-  Node& node = wire.node;
-  node.pulse.heard(net::unixNow());
-  wire.since = net::unixNow();
+void Nodes::handleMessage(NodeConnection& connection, Message& message) {
+  Node& node = connection.node;
+  node.liveness.heard(net::unixNow());
+  connection.lastActivity = net::unixNow();
   const auto it = node.joins.find(message.call);
-  // Extra copies, and what belongs to nobody, are passed over.
+  // Duplicates and messages for unknown calls are ignored.
   if (it == node.joins.end()) {
-    ++statistics_.passedOver;
+    ++statistics_.ignoredMessages;
     return;
   }
   Join& join = *it->second;
-  const session::JoinId key = join.order.join;
+  const session::JoinId id = join.command.join;
   if (message.op == Op::accept) {
-    if (join.began || join.wire != &wire) return void(++statistics_.passedOver);
-    if (!message.desc || message.desc->empty()) return wire.link.close(), down(wire, Link::End::unreadable);
-    join.began = true;
-    join.beganAt = net::unixNow();
-    std::erase(wire.open, &join);
-    wire.standing.push_back(&join);
-    handler_.joinStarted(key, *message.desc);
-    if (wire.spent && wire.open.empty()) retire(wire);
+    if (join.started || join.connection != &connection) return void(++statistics_.ignoredMessages);
+    if (!message.description || message.description->empty())
+      return connection.stream.close(), handleClosed(connection, MessageStream::CloseReason::invalidMessage);
+    join.started = true;
+    join.startedAt = net::unixNow();
+    std::erase(connection.pending, &join);
+    connection.established.push_back(&join);
+    handler_.joinStarted(id, *message.description);
+    if (connection.draining && connection.pending.empty()) removeConnection(connection);
     return;
   }
   if (message.op == Op::end) {
-    if (!join.began && join.wire != &wire) return void(++statistics_.passedOver);
+    if (!join.started && join.connection != &connection) return void(++statistics_.ignoredMessages);
     const std::string* load = message.find("load");
-    const LoadReport report = load == nullptr ? LoadReport{} : reportOf(*load);
-    const bool began = join.began;
-    finish(join);
-    if (began) {
+    const LoadReport report = load == nullptr ? LoadReport{} : parseLoadReport(*load);
+    const bool started = join.started;
+    removeJoin(join);
+    if (started) {
       Message reply;
       reply.op = Op::ended;
       reply.call = message.call;
-      wire.link.say(reply);
-      const bool finished = message.why == cause::over;
-      handler_.joinEnded(key,
-                         finished                          ? Outcome::ok
-                         : message.why == cause::cancelled ? Outcome::cancelled
-                                                           : Outcome::reset,
+      connection.stream.send(reply);
+      const bool finished = message.reasonCode == reason_code::finished;
+      handler_.joinEnded(id,
+                         finished                                       ? Outcome::ok
+                         : message.reasonCode == reason_code::cancelled ? Outcome::cancelled
+                                                                        : Outcome::reset,
                          report, finished);
     } else {
-      const int why = message.why;
-      handler_.joinEnded(key,
-                         why == cause::full      ? Outcome::full
-                         : why == cause::error   ? Outcome::error
-                         : why == cause::notSent ? Outcome::notSent
-                                                 : Outcome::reset,
+      const int reasonCode = message.reasonCode;
+      handler_.joinEnded(id,
+                         reasonCode == reason_code::noCapacity  ? Outcome::full
+                         : reasonCode == reason_code::nodeError ? Outcome::error
+                         : reasonCode == reason_code::notSent   ? Outcome::notSent
+                                                                : Outcome::reset,
                          report, false);
-      if (wire.spent && wire.open.empty()) retire(wire);
+      if (connection.draining && connection.pending.empty()) removeConnection(connection);
     }
     return;
   }
-  if (message.op == Op::info && join.began) {
+  if (message.op == Op::info && join.started) {
     const std::string* value = message.find("value");
     const std::string* note = message.find("note");
     if (value == nullptr || note == nullptr) return;
-    const auto real = jsonl::realOf(*value, 0, 1e6);
-    if (!real) return;
-    if (*note == "fill") handler_.measured(key, MeasurementKind::delivered, *real);
-    if (*note == "grade") handler_.measured(key, MeasurementKind::rung, *real);
-    if (*note == "local") handler_.measured(key, MeasurementKind::link, *real);
-    if (*note == "upstream") handler_.measured(key, MeasurementKind::uplink, *real);
+    const auto number = jsonl::parseNumber(*value, 0, 1e6);
+    if (!number) return;
+    if (*note == "fill") handler_.measured(id, MeasurementKind::delivered, *number);
+    if (*note == "grade") handler_.measured(id, MeasurementKind::rung, *number);
+    if (*note == "local") handler_.measured(id, MeasurementKind::link, *number);
+    if (*note == "upstream") handler_.measured(id, MeasurementKind::uplink, *number);
   }
 }
 
-// ---- nodes that go ----
+// ---- lost and replaced nodes ----
 
-// Ends what began there before a moment, towards the viewers.
-void Nodes::endStanding(Node& node, Micros before) {
-  std::vector<Join*> over;
+// Ends all joins of the node that started before the given time, as reset.
+void Nodes::resetEstablished(Node& node, Micros before) {
+  std::vector<Join*> ended;
   for (const auto& [call, join] : node.joins)
-    if (join->began && join->beganAt < before) over.push_back(join);
-  for (Join* join : over) {
-    const session::JoinId key = join->order.join;
-    finish(*join);
-    handler_.joinEnded(key, Outcome::reset, {}, false);
+    if (join->started && join->startedAt < before) ended.push_back(join);
+  for (Join* join : ended) {
+    const session::JoinId id = join->command.join;
+    removeJoin(*join);
+    handler_.joinEnded(id, Outcome::reset, {}, false);
   }
 }
 
-void Nodes::listed(const fleet::Membership& membership, Micros now) {
-  std::map<std::pair<std::string, int>, NodeId> places;
-  for (const auto& [id, endpoint] : membership.endpoints()) places[{endpoint.host, endpoint.port}] = id;
+void Nodes::listUpdated(const fleet::Membership& membership, Micros now) {
+  std::map<std::pair<std::string, int>, NodeId> idsByAddress;
+  for (const auto& [id, endpoint] : membership.endpoints()) idsByAddress[{endpoint.host, endpoint.port}] = id;
   for (auto& [id, node] : nodes_) {
     const fleet::NodeEndpoint* endpoint = membership.find(id);
-    node->gone = endpoint == nullptr;
-    const auto place = places.find({node->endpoint.host, node->endpoint.port});
-    // Another has its place: whatever stood there is over, and nothing of it can be told any more.
-    if (endpoint == nullptr && place != places.end()) {
-      endStanding(*node, now + 1);
-      node->unsaid.clear();
+    node->removed = endpoint == nullptr;
+    const auto sameAddress = idsByAddress.find({node->endpoint.host, node->endpoint.port});
+    // Another node now has this address: the subscriptions on the old one are over, and messages queued for
+    // it cannot be delivered any more.
+    if (endpoint == nullptr && sameAddress != idsByAddress.end()) {
+      resetEstablished(*node, now + 1);
+      node->queuedMessages.clear();
     }
     if (endpoint == nullptr) continue;
-    if (endpoint->readyAt > node->endpoint.readyAt) endStanding(*node, endpoint->readyAt);
+    if (endpoint->readyAt > node->endpoint.readyAt) resetEstablished(*node, endpoint->readyAt);
     node->endpoint = *endpoint;
   }
 }
 
 void Nodes::tick(Micros now) {
-  dead_.clear();
-  std::vector<Wire*> late;
+  closedConnections_.clear();
+  std::vector<NodeConnection*> timedOut;
   for (auto& [id, node] : nodes_)
-    for (const auto& wire : node->wires)
-      if (!wire->link.isUp() && now - wire->since > bounds_.connect) late.push_back(wire.get());
-  for (Wire* wire : late) failed(*wire, false);
+    for (const auto& connection : node->connections)
+      if (!connection->stream.isConnected() && now - connection->lastActivity > limits_.connectTimeout)
+        timedOut.push_back(connection.get());
+  for (NodeConnection* connection : timedOut) handleConnectFailed(*connection, false);
   for (auto& [id, node] : nodes_) {
-    if (node->joins.empty() && node->unsaid.empty()) continue;
-    bool linked = false, trying = false;
-    for (const auto& wire : node->wires) (wire->link.isUp() ? linked : trying) = true;
-    switch (node->pulse.look(now, linked, trying)) {
+    if (node->joins.empty() && node->queuedMessages.empty()) continue;
+    bool connected = false, connecting = false;
+    for (const auto& connection : node->connections)
+      (connection->stream.isConnected() ? connected : connecting) = true;
+    switch (node->liveness.look(now, connected, connecting)) {
       case fleet::LivenessCheck::Verdict::alive:
         break;
       case fleet::LivenessCheck::Verdict::probe:
-        open(*node);
+        openConnection(*node);
         break;
       case fleet::LivenessCheck::Verdict::dead:
-        ++statistics_.vanished;
-        endStanding(*node, now + 1);
-        node->unsaid.clear();
+        ++statistics_.nodesLost;
+        resetEstablished(*node, now + 1);
+        node->queuedMessages.clear();
         break;
     }
   }
-  std::vector<Wire*> idle;
+  std::vector<NodeConnection*> idle;
   for (auto& [id, node] : nodes_)
-    if (node->gone && node->joins.empty())
-      for (const auto& wire : node->wires) idle.push_back(wire.get());
-  for (Wire* wire : idle) retire(*wire);
+    if (node->removed && node->joins.empty())
+      for (const auto& connection : node->connections) idle.push_back(connection.get());
+  for (NodeConnection* connection : idle) removeConnection(*connection);
   std::erase_if(nodes_, [](const auto& entry) {
-    return entry.second->gone && entry.second->joins.empty() && entry.second->wires.empty();
+    return entry.second->removed && entry.second->joins.empty() && entry.second->connections.empty();
   });
 }
 
-bool Nodes::settled() const {
+bool Nodes::allSent() const {
   for (const auto& [id, node] : nodes_)
-    for (const auto& wire : node->wires) {
-      const bool comesUp = !wire->link.isUp() && !wire->link.isDead();
-      if (wire->link.unsent() || (comesUp && !node->unsaid.empty())) return false;
+    for (const auto& connection : node->connections) {
+      const bool connecting = !connection->stream.isConnected() && !connection->stream.isClosed();
+      if (connection->stream.hasUnsentBytes() || (connecting && !node->queuedMessages.empty())) return false;
     }
   return true;
 }
 
 Nodes::Statistics Nodes::statistics() const {
   Statistics statistics = statistics_;
-  statistics.connections = wires_;
+  statistics.connections = connectionCount_;
   statistics.joins = joins_.size();
   statistics.nodes = nodes_.size();
   return statistics;
--- a/src/platform/nodes.h
+++ b/src/platform/nodes.h
@@ -1,10 +1,10 @@
-// The media nodes' side of the platform's protocol: carries out the front's orders on connections to nodes
-// and tells it how joins end. It decides nothing on placing.
+// The media nodes' side of the operators' protocol: executes the front's commands on a pool of connections to
+// each node and reports how joins end. Placing is decided elsewhere.
 //
-// One spoilt line loses a connection with every set-up on it, so each open set-up has one of its own while
-// the descriptors last; what stands shares. A join counts as written once its bytes are handed to the
-// machine. What stands at a node with nobody behind it is released there.
-// docs/design/platform.md has the reasons. Owned by the director; not to be moved.
+// An unparsable line costs a connection and every pending join on it. Each pending join therefore has a
+// connection of its own while the connection limit allows it; established subscriptions share connections.
+// A join counts as written once its bytes have been passed to the operating system. A subscription that may
+// play at a node without a viewer is released there.
 #pragma once
 
 #include <cstdint>
@@ -22,78 +22,94 @@
 
 namespace lupinsill::platform {
 
+// Connections and joins of all media nodes. Owned by the director; must stay at one address, since its
+// connections refer to it.
 class Nodes {
  public:
+  // Receives the events of joins.
   struct Handler {
     virtual ~Handler() = default;
-    // Asked as a join is about to be written; false: it is not, and has ended as moot.
+    // Called right before a join is written. If it returns false, the join is not written and ends with
+    // Outcome::notSent.
     virtual bool mayWrite(session::JoinId join) = 0;
-    virtual void joinStarted(session::JoinId join, const std::string& desc) = 0;
+    // The node accepted the call; `description` is its answer to the viewer.
+    virtual void joinStarted(session::JoinId join, const std::string& description) = 0;
+    // A join failed or its subscription ended. `finished`: it had started and ended normally.
     virtual void joinEnded(session::JoinId join, Outcome outcome, const LoadReport& report,
                            bool finished) = 0;
-    virtual void measured(session::JoinId join, MeasurementKind reading, double value) = 0;
+    // The node reported a measurement of an established subscription.
+    virtual void measured(session::JoinId join, MeasurementKind kind, double value) = 0;
   };
   struct Limits {
-    std::size_t connections = 0;
-    Micros connect = 0;
+    std::size_t maxConnections = 0;  // to all nodes together
+    Micros connectTimeout = 0;       // after which a connection that is not up counts as failed
   };
+  // Counters since start, and current sizes.
   struct Statistics {
-    std::uint64_t connects = 0, failed = 0, lost = 0, unreadable = 0, passedOver = 0, orphans = 0,
-                  vanished = 0, retaken = 0;
+    std::uint64_t connects = 0, connectsFailed = 0, connectionsLost = 0, invalidMessages = 0,
+                  ignoredMessages = 0, releasedOrphans = 0, nodesLost = 0, staleConnections = 0;
     std::size_t connections = 0, joins = 0, nodes = 0;
   };
 
-  Nodes(event_base* base, Handler& handler, Limits bounds);
+  Nodes(event_base* base, Handler& handler, Limits limits);
   ~Nodes();
 
-  void setUp(const session::SetUp& order, const fleet::NodeEndpoint& endpoint, const Call& call);
+  // Starts a join: offers the call to the node.
+  void setUp(const session::SetUp& command, const fleet::NodeEndpoint& endpoint, const Call& call);
+  // Takes over a subscription that was playing at the node before this process started.
   void adopt(session::JoinId join, const fleet::NodeEndpoint& endpoint, const Call& call);
-  void change(const session::ChangeRung& order);
+  // Tells the node, or if the offer is not written yet, offers the new rung.
+  void changeRung(const session::ChangeRung& command);
+  // Ends a join or subscription at its node, without reporting joinEnded.
   void tearDown(session::JoinId join);
+  // Ends a join with Outcome::notSent if it has not been written yet.
   void withdraw(session::JoinId join);
-  // After each change of the list: nodes that went, started anew, or whose place another has taken.
-  void listed(const fleet::Membership& membership, Micros now);
-  // After each turn: joins whose connection has come up.
+  // Call after each change of the node list. Ends subscriptions at nodes that restarted or whose address now
+  // belongs to another node.
+  void listUpdated(const fleet::Membership& membership, Micros now);
+  // Call after each turn. Writes the joins whose connection has come up.
   void writeWaiting();
+  // Call regularly: connect timeouts, health checks of nodes with subscriptions, and freeing of connections.
   void tick(Micros now);
-  // Whether all that can be said to nodes has been handed to the machine; what waits for a node that takes no
-  // connection can't.
-  bool settled() const;
+  // Whether all messages that can be delivered have been passed to the operating system. Messages queued for
+  // a node to which no connection comes up do not count.
+  bool allSent() const;
   Statistics statistics() const;
 
  private:
   struct Node;
-  struct Wire;
+  struct NodeConnection;
   struct Join;
   Node& nodeOf(const fleet::NodeEndpoint& endpoint);
-  Wire* open(Node& node);
-  Wire* pick(Node& node);
-  bool makeRoom(const Node& wanting);
-  void place(Join& join);
-  void write(Join& join, Wire& wire);
-  void unfit(Wire& wire);
-  void say(Node& node, const jsonl::Message& message, Wire* first = nullptr);
-  void up(Wire& wire);
-  void heard(Wire& wire, jsonl::Message& message);
-  void down(Wire& wire, Link::End how);
-  void failed(Wire& wire, bool refused);
-  void retire(Wire& wire);
-  void release(Node& node, const std::string& call);
-  void finish(Join& join);
-  void endStanding(Node& node, Micros before);
-  Join* find(session::JoinId key);
+  NodeConnection* openConnection(Node& node);
+  NodeConnection* chooseConnection(Node& node);
+  bool evictIdleConnection(const Node& requester);
+  void assignConnection(Join& join);
+  void writeOffer(Join& join, NodeConnection& connection);
+  void discardStale(NodeConnection& connection);
+  void sendToNode(Node& node, const jsonl::Message& message, NodeConnection* preferred = nullptr);
+  void handleConnected(NodeConnection& connection);
+  void handleMessage(NodeConnection& connection, jsonl::Message& message);
+  void handleClosed(NodeConnection& connection, MessageStream::CloseReason reason);
+  void handleConnectFailed(NodeConnection& connection, bool refused);
+  void removeConnection(NodeConnection& connection);
+  void releaseOrphan(Node& node, const std::string& call);
+  void removeJoin(Join& join);
+  void resetEstablished(Node& node, Micros before);
+  Join* findJoin(session::JoinId id);
 
   event_base* base_;
   Handler& handler_;
-  Limits bounds_;
+  Limits limits_;
   std::map<NodeId, std::unique_ptr<Node>> nodes_;
   std::map<session::JoinId, std::unique_ptr<Join>> joins_;
-  std::size_t wires_ = 0;
-  bool cameUp_ = false;
-  std::vector<std::unique_ptr<Wire>> dead_;
+  std::size_t connectionCount_ = 0;                                 // to all nodes
+  bool connectionCameUp_ = false;                                   // since the last writeWaiting()
+  std::vector<std::unique_ptr<NodeConnection>> closedConnections_;  // freed in the next tick
   Statistics statistics_;
 };
 
-LoadReport reportOf(const std::string& text);
+// Parses the `load` field of a message; returns an empty report if it is malformed.
+LoadReport parseLoadReport(const std::string& text);
 
 }  // namespace lupinsill::platform
--- a/src/platform/viewers.cpp
+++ b/src/platform/viewers.cpp
@@ -7,51 +7,51 @@
 
 using jsonl::Message;
 using jsonl::Op;
-namespace cause = jsonl::cause;
+namespace reason_code = jsonl::reason_code;
 
 namespace {
 
-constexpr Micros toldWithin = 8'000'000;    // the protocol's: a release is of no use to anybody later
-constexpr Micros stoodStill = 100'000;      // between two ticks, at most, it was this process's own time
-constexpr std::size_t unsaidMost = 10'000;  // releases that wait for a connection
+constexpr Micros releaseLifetime = 8'000'000;      // set by the protocol: a later release has no effect
+constexpr Micros maxTickGap = 100'000;             // a longer gap between ticks is a stall and counts as this
+constexpr std::size_t maxQueuedReleases = 10'000;  // while no connection can take them
 
 }  // namespace
 
-struct Viewers::Peer final : Link::Handler {
-  Peer(Viewers& viewers, std::uint64_t number, net::BufferEvent bufferEvent)
+struct Viewers::ViewerConnection final : MessageStream::Handler {
+  ViewerConnection(Viewers& viewers, std::uint64_t number, net::BufferEvent bufferEvent)
       : owner(viewers),
         id(number),
-        since(net::unixNow()),
-        link(*this, std::move(bufferEvent), true, "viewer-" + std::to_string(number)) {}
-  void onUp(Link&) override {}
-  void onMessage(Link&, Message& message) override { owner.heard(*this, message); }
-  void onDown(Link&, Link::End how) override {
-    if (how == Link::End::unreadable) ++owner.statistics_.unreadable;
-    owner.down(*this);
+        lastActivity(net::unixNow()),
+        stream(*this, std::move(bufferEvent), true, "viewer-" + std::to_string(number)) {}
+  void onConnected(MessageStream&) override {}
+  void onMessage(MessageStream&, Message& message) override { owner.handleMessage(*this, message); }
+  void onClosed(MessageStream&, MessageStream::CloseReason reason) override {
+    if (reason == MessageStream::CloseReason::invalidMessage) ++owner.statistics_.invalidMessages;
+    owner.handleClosed(*this);
   }
   Viewers& owner;
   std::uint64_t id;
-  Micros since;                                     // of accepting, then of the last use
-  bool proven = false;                              // has brought something of use
-  std::map<session::CallId, Held*> open, standing;  // in the order they came
-  std::map<std::string, Release> unheard;           // said here, and not acknowledged yet
-  Link link;
+  Micros lastActivity;    // when it was accepted, later when it was last used
+  bool verified = false;  // has sent a valid request or health check
+  std::map<session::CallId, CallEntry*> pending, established;  // in order of arrival
+  std::map<std::string, Release> unacknowledged;               // releases sent here, by call ID
+  MessageStream stream;
 };
 
-struct Viewers::Held {
+struct Viewers::CallEntry {
   Call call;
-  Peer* peer = nullptr;  // of its set-up, while that is there
+  ViewerConnection* viewer = nullptr;  // on which the offer came; null once that has closed
 };
 
 Viewers::Viewers(event_base* base, Handler& handler, const std::string& host, int port,
-                 const control_settings::Names& names, const ControlSettings& terms, Limits bounds)
+                 const control_settings::Names& names, const ControlSettings& settings, Limits limits)
     : base_(base),
       handler_(handler),
       names_(names),
-      terms_(terms),
-      bounds_(bounds),
-      retryAfterSchedule_(terms),
-      adoptsFor_(bounds.adopting) {
+      settings_(settings),
+      limits_(limits),
+      retryAfterSchedule_(settings),
+      adoptionTimeLeft_(limits.adoptionWindow) {
   listener_ = net::listenOn(base, host, port, onAccept, this);
 }
 Viewers::~Viewers() = default;
@@ -60,227 +60,238 @@
 
 // ---- connections ----
 
-void Viewers::onAccept(evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* me) {
-  static_cast<Viewers*>(me)->accepted(fd);
+void Viewers::onAccept(evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* self) {
+  static_cast<Viewers*>(self)->acceptConnection(fd);
 }
 
-// Guards against connections by the hundred that say nothing: when short, those go first that carry nothing,
-// the unproven before the rest, the oldest first, and last those on which something stands, since that
-// belongs to no connection. Media nodes' sockets are never at stake.
-void Viewers::accepted(evutil_socket_t fd) {
+// Protects against hundreds of silent connections. At the limit, a connection without pending calls is
+// closed: first unverified ones, then verified ones, each oldest first, and last those with established
+// subscriptions, which outlive their connection. If every connection has pending calls, the new one is
+// refused. The connections to media nodes have their own limit.
+void Viewers::acceptConnection(evutil_socket_t fd) {
   ++statistics_.accepted;
-  if (peers_.size() >= bounds_.connections) {
-    Peer* out = nullptr;
-    const auto worth = [](const Peer& peer) { return peer.standing.empty() ? (peer.proven ? 1 : 0) : 2; };
-    for (auto& [id, peer] : peers_)
-      if (peer->open.empty() && (out == nullptr || worth(*peer) < worth(*out))) out = peer.get();
-    ++statistics_.turnedAway;
-    if (out == nullptr) {
+  if (connections_.size() >= limits_.maxConnections) {
+    ViewerConnection* evicted = nullptr;
+    const auto evictionRank = [](const ViewerConnection& viewer) {
+      return viewer.established.empty() ? (viewer.verified ? 1 : 0) : 2;
+    };
+    for (auto& [id, viewer] : connections_)
+      if (viewer->pending.empty() && (evicted == nullptr || evictionRank(*viewer) < evictionRank(*evicted)))
+        evicted = viewer.get();
+    ++statistics_.connectionsRefused;
+    if (evicted == nullptr) {
       evutil_closesocket(fd);
       return;
     }
-    drop(*out);
+    closeConnection(*evicted);
   }
   net::noDelay(static_cast<int>(fd));
   net::BufferEvent bufferEvent = net::acceptPlain(base_, fd);
   if (!bufferEvent) return;
-  const std::uint64_t id = ++lastPeer_;
-  peers_.emplace(id, std::make_unique<Peer>(*this, id, std::move(bufferEvent)));
+  const std::uint64_t id = ++lastConnectionId_;
+  connections_.emplace(id, std::make_unique<ViewerConnection>(*this, id, std::move(bufferEvent)));
 }
 
-// Only a connection that has brought something of use hears of ends: who says nothing may be nobody's viewer.
-void Viewers::proved(Peer& peer) {
-  peer.since = net::unixNow();
-  if (std::exchange(peer.proven, true)) return;
-  for (const Release& release : std::exchange(unsaid_, {})) say(release, &peer);
+// Queued releases are sent only on verified connections: a silent peer may not be a viewer at all.
+void Viewers::markVerified(ViewerConnection& viewer) {
+  viewer.lastActivity = net::unixNow();
+  if (std::exchange(viewer.verified, true)) return;
+  for (const Release& release : std::exchange(queuedReleases_, {})) sendRelease(release, &viewer);
 }
 
-// What is open on a connection that its viewer closed has been given up; what stands goes on without it.
-void Viewers::down(Peer& peer) {
-  for (const auto& [callId, held] : std::exchange(peer.open, {})) {
-    handler_.onLeave(held->call);
-    held->peer = nullptr;
-    forget(*held);
+// Pending calls are abandoned with their connection; established subscriptions continue without it.
+void Viewers::handleClosed(ViewerConnection& viewer) {
+  for (const auto& [callId, entry] : std::exchange(viewer.pending, {})) {
+    handler_.onLeave(entry->call);
+    entry->viewer = nullptr;
+    removeCall(*entry);
   }
-  for (const auto& [callId, held] : std::exchange(peer.standing, {})) held->peer = nullptr;
-  const auto it = peers_.find(peer.id);
-  if (it == peers_.end()) return;
-  dead_.push_back(std::move(it->second));
-  peers_.erase(it);
-  // Guards against a release that met the break of its connection: whoever heard it has acknowledged it.
-  for (const auto& [call, release] : std::exchange(peer.unheard, {}))
-    ++statistics_.saidAgain, say(release, nullptr);
+  for (const auto& [callId, entry] : std::exchange(viewer.established, {})) entry->viewer = nullptr;
+  const auto it = connections_.find(viewer.id);
+  if (it == connections_.end()) return;
+  closedConnections_.push_back(std::move(it->second));
+  connections_.erase(it);
+  // An unacknowledged release may have been lost with the connection, so it is retransmitted on another.
+  for (const auto& [call, release] : std::exchange(viewer.unacknowledged, {}))
+    ++statistics_.retransmits, sendRelease(release, nullptr);
 }
 
-void Viewers::drop(Peer& peer) {
-  peer.link.close();
-  down(peer);
+void Viewers::closeConnection(ViewerConnection& viewer) {
+  viewer.stream.close();
+  handleClosed(viewer);
 }
 
 void Viewers::tick(Micros now) {
-  dead_.clear();
-  if (passed_) adoptsFor_ -= std::min(now - tickedAt_, stoodStill);
-  tickedAt_ = now;
-  const auto useless = [&](const Release& release) { return now - release.since > toldWithin; };
-  std::erase_if(unsaid_, useless);
-  for (auto& [id, peer] : peers_)
-    std::erase_if(peer->unheard, [&](const auto& entry) { return useless(entry.second); });
-  std::vector<Peer*> over;
-  for (auto& [id, peer] : peers_)
-    if (peer->open.empty() && peer->standing.empty() &&
-        now - peer->since > (peer->proven ? bounds_.idle : bounds_.silent))
-      over.push_back(peer.get());
-  for (Peer* peer : over) drop(*peer);
+  closedConnections_.clear();
+  if (testPassed_) adoptionTimeLeft_ -= std::min(now - lastTick_, maxTickGap);
+  lastTick_ = now;
+  const auto expired = [&](const Release& release) { return now - release.endedAt > releaseLifetime; };
+  std::erase_if(queuedReleases_, expired);
+  for (auto& [id, viewer] : connections_)
+    std::erase_if(viewer->unacknowledged, [&](const auto& entry) { return expired(entry.second); });
+  std::vector<ViewerConnection*> timedOut;
+  for (auto& [id, viewer] : connections_)
+    if (viewer->pending.empty() && viewer->established.empty() &&
+        now - viewer->lastActivity > (viewer->verified ? limits_.idleTimeout : limits_.silentTimeout))
+      timedOut.push_back(viewer.get());
+  for (ViewerConnection* viewer : timedOut) closeConnection(*viewer);
 }
 
-// ---- what comes in ----
+// ---- messages from viewers ----
 
-void Viewers::heard(Peer& peer, Message& message) {
+void Viewers::handleMessage(ViewerConnection& viewer, Message& message) {
   switch (message.op) {
     case Op::offer:
-      return offered(peer, message);
+      return handleOffer(viewer, message);
     case Op::test: {
-      proved(peer);
+      markVerified(viewer);
       Message reply;
       reply.op = Op::tested;
       reply.call = message.call;
-      reply.why = handler_.ready() ? cause::passed : 0;
-      passed_ = passed_ || reply.why == cause::passed;
-      peer.link.say(reply);
+      reply.reasonCode = handler_.isReady() ? reason_code::testPassed : 0;
+      testPassed_ = testPassed_ || reply.reasonCode == reason_code::testPassed;
+      viewer.stream.send(reply);
       return;
     }
     case Op::end: {
       const auto it = calls_.find(message.call);
-      if (it == calls_.end()) return;  // over already, its release crossed this one
-      Held& held = *it->second;
-      // What was not answered belongs to its connection: no other may take it back.
-      if (!held.call.answered && held.peer != &peer) return useless(peer, message.call);
-      const bool stood = held.call.answered;
-      handler_.onLeave(held.call);
-      forget(held);
-      if (!stood) return;
+      if (it == calls_.end()) return;  // already over: its release crossed this message
+      CallEntry& entry = *it->second;
+      // A pending call belongs to its connection; no other connection may cancel it.
+      if (!entry.call.answered && entry.viewer != &viewer) return rejectInvalid(viewer, message.call);
+      const bool wasEstablished = entry.call.answered;
+      handler_.onLeave(entry.call);
+      removeCall(entry);
+      if (!wasEstablished) return;
       Message reply;
       reply.op = Op::ended;
       reply.call = message.call;
-      peer.link.say(reply);
+      viewer.stream.send(reply);
       return;
     }
     case Op::ended:
-      peer.unheard.erase(message.call);
+      viewer.unacknowledged.erase(message.call);
       return;
     default:
       return;
   }
 }
 
-// Guards against what no media node could use, floods of it, and the same thing again as soon as it is
-// turned away: one answer, and the connection goes unless it carries something.
-void Viewers::useless(Peer& peer, const std::string& call) {
-  ++statistics_.useless;
+// Rejects a request that no media node could serve. The connection is closed unless it carries other calls,
+// so that a client cannot flood invalid requests or repeat one as soon as it is rejected.
+void Viewers::rejectInvalid(ViewerConnection& viewer, const std::string& call) {
+  ++statistics_.invalidRequests;
   Message reply;
   reply.op = Op::end;
   reply.call = call;
-  reply.why = cause::invalid;
-  peer.link.say(reply);
-  if (peer.open.empty() && peer.standing.empty()) drop(peer);
+  reply.reasonCode = reason_code::invalidRequest;
+  viewer.stream.send(reply);
+  if (viewer.pending.empty() && viewer.established.empty()) closeConnection(viewer);
 }
 
-void Viewers::offered(Peer& peer, const Message& message) {
-  session::PlayRequest ask;
+void Viewers::handleOffer(ViewerConnection& viewer, const Message& message) {
+  session::PlayRequest request;
   std::string node;
-  if (!read(message, ask, node)) return useless(peer, message.call);
-  const bool adopting = !node.empty();
-  const auto known = calls_.find(message.call);
-  if (known != calls_.end()) {
-    if (adopting && known->second->call.answered) return named(peer, *known->second, message);
-    // The id of another's request. On the same connection an answer would pass for that to the first.
-    if (known->second->peer == &peer) return drop(peer);
-    return useless(peer, message.call);
+  if (!parseOffer(message, request, node)) return rejectInvalid(viewer, message.call);
+  const bool adoption = !node.empty();
+  const auto existing = calls_.find(message.call);
+  if (existing != calls_.end()) {
+    if (adoption && existing->second->call.answered)
+      return handleRepeatedAdoption(viewer, *existing->second, message);
+    // The call ID is in use. On the same connection, a rejection would be taken for the answer to the first
+    // request, so none is sent.
+    if (existing->second->viewer == &viewer) return closeConnection(viewer);
+    return rejectInvalid(viewer, message.call);
   }
-  // Guards against imitations of what plays: each would take a seat and a place at its node for good, since
-  // nobody ever ends what no node knows.
-  if (adopting && adoptsFor_ <= 0) return useless(peer, message.call);
-  if (!adopting && peer.open.size() >= bounds_.openPerConnection) {
-    ++statistics_.floods;
+  // A forged adoption would occupy a seat and a slot at its node for good: no node knows the subscription, so
+  // none reports its end. Adoptions are therefore accepted only for a limited time after the start.
+  if (adoption && adoptionTimeLeft_ <= 0) return rejectInvalid(viewer, message.call);
+  if (!adoption && viewer.pending.size() >= limits_.maxPendingPerConnection) {
+    ++statistics_.flowLimited;
     Message reply;
     reply.op = Op::end;
     reply.call = message.call;
-    reply.why = cause::full;
+    reply.reasonCode = reason_code::noCapacity;
     if (const Micros retryAfter = retryAfterSchedule_.next(); retryAfter > 0)
-      reply.with["wait"] = std::to_string(retryAfter / 1000);
-    peer.link.say(reply);
+      reply.fields["wait"] = std::to_string(retryAfter / 1000);
+    viewer.stream.send(reply);
     return;
   }
-  proved(peer);
-  auto made = std::make_unique<Held>();
-  Held& held = *made;
-  held.peer = &peer;
-  held.call = {message.call, ++lastLine_, *message.find("class"), ask.title, *message.desc, adopting};
-  ask.callId = held.call.callId;
-  (adopting ? peer.standing : peer.open).emplace(held.call.callId, &held);
-  lines_[held.call.callId] = &held;
-  calls_.emplace(message.call, std::move(made));
-  if (adopting)
-    handler_.onAdopted(held.call, std::move(ask), node);
+  markVerified(viewer);
+  auto newEntry = std::make_unique<CallEntry>();
+  CallEntry& entry = *newEntry;
+  entry.viewer = &viewer;
+  entry.call = {message.call,  ++lastCallId_,        *message.find("class"),
+                request.title, *message.description, adoption};
+  request.callId = entry.call.callId;
+  (adoption ? viewer.established : viewer.pending).emplace(entry.call.callId, &entry);
+  callsByCallId_[entry.call.callId] = &entry;
+  calls_.emplace(message.call, std::move(newEntry));
+  if (adoption)
+    handler_.onAdopted(entry.call, std::move(request), node);
   else
-    handler_.onRequest(held.call, std::move(ask));
+    handler_.onRequest(entry.call, std::move(request));
 }
 
-// What stands is named once more. Another description or title under its id is not its viewer's, and gets no
-// word, which could pass for the end of the first; its connection goes, unless it carries something.
-void Viewers::named(Peer& peer, const Held& known, const Message& message) {
-  const bool same = *message.find("class") == known.call.room && *message.find("key") == known.call.title &&
-                    *message.desc == known.call.desc;
-  if (same) return proved(peer);
-  ++statistics_.useless;
-  if (peer.open.empty() && peer.standing.empty()) drop(peer);
+// An established subscription is reported again. If title, room type or description differ, the message is
+// not from its viewer. A rejection could be taken for the end of the real subscription, so none is sent; the
+// connection is closed unless it carries other calls.
+void Viewers::handleRepeatedAdoption(ViewerConnection& viewer, const CallEntry& existing,
+                                     const Message& message) {
+  const bool same = *message.find("class") == existing.call.room &&
+                    *message.find("key") == existing.call.title &&
+                    *message.description == existing.call.description;
+  if (same) return markVerified(viewer);
+  ++statistics_.invalidRequests;
+  if (viewer.pending.empty() && viewer.established.empty()) closeConnection(viewer);
 }
 
-// The numbers of a set-up within what they can mean; the rest is refused whole.
-bool Viewers::read(const Message& message, session::PlayRequest& ask, std::string& node) const {
+// Translates an offer; returns false if a field is missing or out of range. `node` is set for an adoption:
+// the name of the node at which the subscription plays.
+bool Viewers::parseOffer(const Message& message, session::PlayRequest& request, std::string& node) const {
   const std::string* room = message.find("class");
   const std::string* title = message.find("key");
-  const std::string* left = message.find("left");
+  const std::string* timeLeft = message.find("left");
   const std::string* extras = message.find("extras");
-  if (room == nullptr || title == nullptr || title->empty() || extras == nullptr || !message.desc ||
-      message.desc->empty())
+  if (room == nullptr || title == nullptr || title->empty() || extras == nullptr || !message.description ||
+      message.description->empty())
     return false;
-  ask.roomType = control_settings::indexOf(names_.roomTypes, *room);
-  if (ask.roomType < 0) return false;
+  request.roomType = control_settings::indexOf(names_.roomTypes, *room);
+  if (request.roomType < 0) return false;
   if (const std::string* tenant = message.find("tenant"))
-    ask.party = control_settings::indexOf(names_.parties, *tenant);
-  ask.title = *title;
-  std::map<std::string, std::string> facts;
+    request.party = control_settings::indexOf(names_.parties, *tenant);
+  request.title = *title;
+  std::map<std::string, std::string> extraFields;
   try {
-    facts = jsonl::pairsOf(*extras);
-  } catch (const jsonl::BadLine&) {
+    extraFields = jsonl::parsePairs(*extras);
+  } catch (const jsonl::ParseError&) {
     return false;
   }
-  const auto whole = [&](const char* key, long long least, long long most) {
-    const auto it = facts.find(key);
-    return it == facts.end() ? std::nullopt : jsonl::wholeOf(it->second, least, most);
+  const auto integerField = [&](const char* key, long long min, long long max) {
+    const auto it = extraFields.find(key);
+    return it == extraFields.end() ? std::nullopt : jsonl::parseInteger(it->second, min, max);
   };
-  const auto home = whole("home", 0, std::max(0, terms_.cells - 1));
-  const auto copies = whole("copies", 1, std::max(1, terms_.cells));
-  const auto top = whole("top", 0, 1000);
-  if (!home || !copies || !top) return false;
-  ask.firstCell = static_cast<int>(*home);
-  ask.holders = static_cast<int>(*copies);
-  ask.top = static_cast<int>(*top);
-  if (const auto it = facts.find("viewer"); it != facts.end()) ask.viewer = it->second;
-  if (const auto it = facts.find("at"); it != facts.end()) node = it->second;
-  if (left != nullptr) {
-    // What plays already waits for nothing: its figure stands for no limit.
-    const auto milliseconds = jsonl::realOf(*left, 0, node.empty() ? 3.6e6 : 1e15);
+  const auto firstCell = integerField("home", 0, std::max(0, settings_.cells - 1));
+  const auto holders = integerField("copies", 1, std::max(1, settings_.cells));
+  const auto top = integerField("top", 0, 1000);
+  if (!firstCell || !holders || !top) return false;
+  request.firstCell = static_cast<int>(*firstCell);
+  request.holders = static_cast<int>(*holders);
+  request.top = static_cast<int>(*top);
+  if (const auto it = extraFields.find("viewer"); it != extraFields.end()) request.viewer = it->second;
+  if (const auto it = extraFields.find("at"); it != extraFields.end()) node = it->second;
+  if (timeLeft != nullptr) {
+    // An adoption awaits no answer, so the value of its `left` field does not matter.
+    const auto milliseconds = jsonl::parseNumber(*timeLeft, 0, node.empty() ? 3.6e6 : 1e15);
     if (!milliseconds) return false;
-    ask.timeout = node.empty() ? static_cast<Micros>(*milliseconds * 1000) : 0;
+    request.timeout = node.empty() ? static_cast<Micros>(*milliseconds * 1000) : 0;
   } else if (node.empty()) {
     return false;
   }
   if (const std::string* hint = message.find("hint")) {
-    const auto milliseconds = jsonl::realOf(*hint, 0, 1e9);
+    const auto milliseconds = jsonl::parseNumber(*hint, 0, 1e9);
     if (!milliseconds) return false;
-    ask.length = static_cast<Micros>(*milliseconds * 1000);
+    request.length = static_cast<Micros>(*milliseconds * 1000);
   }
   return true;
 }
@@ -288,98 +299,103 @@
 // ---- answers ----
 
 Call* Viewers::find(session::CallId callId) {
-  const auto it = lines_.find(callId);
-  return it == lines_.end() ? nullptr : &it->second->call;
+  const auto it = callsByCallId_.find(callId);
+  return it == callsByCallId_.end() ? nullptr : &it->second->call;
 }
 
-void Viewers::forget(Held& held) {
-  if (held.peer != nullptr) {
-    held.peer->open.erase(held.call.callId);
-    held.peer->standing.erase(held.call.callId);
-    held.peer->since = net::unixNow();
+void Viewers::removeCall(CallEntry& entry) {
+  if (entry.viewer != nullptr) {
+    entry.viewer->pending.erase(entry.call.callId);
+    entry.viewer->established.erase(entry.call.callId);
+    entry.viewer->lastActivity = net::unixNow();
   }
-  lines_.erase(held.call.callId);
-  calls_.erase(std::string(held.call.id));
+  callsByCallId_.erase(entry.call.callId);
+  calls_.erase(std::string(entry.call.id));
 }
 
-// On the connection of its set-up, else on the newest that is of use, else on the next that comes.
-void Viewers::say(const Release& release, Peer* first) {
-  if (net::unixNow() - release.since > toldWithin) return;
-  if (first != nullptr && tell(*first, release)) return;
-  for (auto it = peers_.rbegin(); it != peers_.rend(); ++it)
-    if (it->second->proven && tell(*it->second, release)) return;
-  if (unsaid_.size() >= unsaidMost) unsaid_.pop_front();
-  unsaid_.push_back(release);
+// Sends on the connection of the call, or else on the newest verified one. If there is none, queues the
+// release for the next connection that is verified.
+void Viewers::sendRelease(const Release& release, ViewerConnection* preferred) {
+  if (net::unixNow() - release.endedAt > releaseLifetime) return;
+  if (preferred != nullptr && sendReleaseOn(*preferred, release)) return;
+  for (auto it = connections_.rbegin(); it != connections_.rend(); ++it)
+    if (it->second->verified && sendReleaseOn(*it->second, release)) return;
+  if (queuedReleases_.size() >= maxQueuedReleases) queuedReleases_.pop_front();
+  queuedReleases_.push_back(release);
 }
 
-bool Viewers::tell(Peer& peer, const Release& release) {
-  if (!peer.link.sound() || !peer.link.say(release.message)) return false;
-  peer.unheard[release.message.call] = release;
+// Returns false if the connection cannot be used. The release is kept until the viewer acknowledges it.
+bool Viewers::sendReleaseOn(ViewerConnection& viewer, const Release& release) {
+  if (!viewer.stream.isUsable() || !viewer.stream.send(release.message)) return false;
+  viewer.unacknowledged[release.message.call] = release;
   return true;
 }
 
-void Viewers::playing(session::CallId callId, const std::string& desc) {
-  const auto it = lines_.find(callId);
-  if (it == lines_.end()) return;
-  Held& held = *it->second;
+void Viewers::playing(session::CallId callId, const std::string& description) {
+  const auto it = callsByCallId_.find(callId);
+  if (it == callsByCallId_.end()) return;
+  CallEntry& entry = *it->second;
   Message message;
   message.op = Op::accept;
-  message.call = held.call.id;
-  message.desc = desc;
-  held.call.answered = true;
-  if (held.peer == nullptr) return;
-  held.peer->open.erase(callId);
-  held.peer->standing.emplace(callId, &held);
-  if (held.peer->link.say(message)) return;
-  // Guards against a subscription that plays for nobody: its viewer's connection broke under the answer.
-  handler_.onLeave(held.call);
-  forget(held);
+  message.call = entry.call.id;
+  message.description = description;
+  entry.call.answered = true;
+  if (entry.viewer == nullptr) return;
+  entry.viewer->pending.erase(callId);
+  entry.viewer->established.emplace(callId, &entry);
+  if (entry.viewer->stream.send(message)) return;
+  // The viewer's connection broke before the answer was sent; without this the subscription would play on
+  // without a viewer.
+  handler_.onLeave(entry.call);
+  removeCall(entry);
 }
 
 void Viewers::throttled(session::CallId callId, Micros retryAfter) {
   Message message;
-  message.why = cause::full;
-  if (retryAfter > 0) message.with["wait"] = std::to_string(retryAfter / 1000);
-  turnAway(callId, std::move(message));
+  message.reasonCode = reason_code::noCapacity;
+  if (retryAfter > 0) message.fields["wait"] = std::to_string(retryAfter / 1000);
+  rejectCall(callId, std::move(message));
 }
 
 void Viewers::terminated(session::CallId callId) {
   Message message;
-  message.why = cause::broken;
-  turnAway(callId, std::move(message));
+  message.reasonCode = reason_code::failed;
+  rejectCall(callId, std::move(message));
 }
 
-void Viewers::turnAway(session::CallId callId, Message message) {
-  const auto it = lines_.find(callId);
-  if (it == lines_.end()) return;
+// Answers a request with `end` and removes the call.
+void Viewers::rejectCall(session::CallId callId, Message message) {
+  const auto it = callsByCallId_.find(callId);
+  if (it == callsByCallId_.end()) return;
   message.op = Op::end;
   message.call = it->second->call.id;
-  if (it->second->peer != nullptr) it->second->peer->link.say(message);
-  forget(*it->second);
+  if (it->second->viewer != nullptr) it->second->viewer->stream.send(message);
+  removeCall(*it->second);
 }
 
 void Viewers::ended(session::CallId callId, bool finished) {
-  const auto it = lines_.find(callId);
-  if (it == lines_.end()) return;
+  const auto it = callsByCallId_.find(callId);
+  if (it == callsByCallId_.end()) return;
   Message message;
   message.op = Op::end;
   message.call = it->second->call.id;
-  message.why = finished ? cause::over : cause::broken;
-  Peer* const peer = it->second->peer;
-  forget(*it->second);
-  say({std::move(message), net::unixNow()}, peer);
+  message.reasonCode = finished ? reason_code::finished : reason_code::failed;
+  ViewerConnection* const viewer = it->second->viewer;
+  removeCall(*it->second);
+  sendRelease({std::move(message), net::unixNow()}, viewer);
 }
 
-bool Viewers::settled() const {
-  return unsaid_.empty() && std::none_of(peers_.begin(), peers_.end(), [](const auto& entry) {
-           const Peer& peer = *entry.second;
-           return peer.link.unsent() || (peer.proven && peer.link.midMessage());
+bool Viewers::allSent() const {
+  return queuedReleases_.empty() &&
+         std::none_of(connections_.begin(), connections_.end(), [](const auto& entry) {
+           const ViewerConnection& viewer = *entry.second;
+           return viewer.stream.hasUnsentBytes() || (viewer.verified && viewer.stream.hasPartialMessage());
          });
 }
 
 Viewers::Statistics Viewers::statistics() const {
   Statistics statistics = statistics_;
-  statistics.connections = peers_.size();
+  statistics.connections = connections_.size();
   statistics.calls = calls_.size();
   return statistics;
 }
--- a/src/platform/viewers.h
+++ b/src/platform/viewers.h
@@ -1,7 +1,6 @@
-// The viewers' side of the platform's protocol: takes set-ups and what ends them, words the answers. A
-// standing subscription belongs to no connection, so calls are found by their id on any of them.
-// It decides nothing on placing; what it turns away is what no media node could use.
-// Owned by the director; not to be moved.
+// The viewers' side of the operators' protocol: receives offers and ends, and sends the answers. An
+// established subscription belongs to no connection, so calls are found by their ID on any connection.
+// Placing is decided elsewhere; only requests that no media node could serve are rejected here.
 #pragma once
 
 #include <cstdint>
@@ -18,92 +17,110 @@
 
 namespace lupinsill::platform {
 
-// A set-up and what comes of it, from its first message to its release.
+// A requested or established subscription, from its offer to its release.
 struct Call {
-  std::string id;
+  std::string id;  // on the wire
   session::CallId callId = 0;
-  std::string room, title, desc;
-  bool answered = false;
+  std::string room, title, description;
+  bool answered = false;  // accepted, or adopted
 };
 
+// Connections and calls of all viewers. Owned by the director; must stay at one address, since its
+// connections refer to it.
 class Viewers {
  public:
+  // Receives the requests of viewers.
   struct Handler {
     virtual ~Handler() = default;
-    virtual void onRequest(Call& call, session::PlayRequest ask) = 0;
-    virtual void onAdopted(Call& call, session::PlayRequest ask, const std::string& node) = 0;
+    // A viewer requests a subscription; it must be answered with playing(), throttled() or terminated().
+    virtual void onRequest(Call& call, session::PlayRequest request) = 0;
+    // A viewer reports a subscription that plays at `node` since before this process started.
+    virtual void onAdopted(Call& call, session::PlayRequest request, const std::string& node) = 0;
+    // The viewer ended the call, or its connection closed before the answer.
     virtual void onLeave(const Call& call) = 0;
-    virtual bool ready() = 0;  // a test is passed
+    // Whether the director passes a health check.
+    virtual bool isReady() = 0;
   };
   struct Limits {
-    std::size_t connections = 0;
-    std::size_t openPerConnection = 32;
-    Micros silent = 2'300'000;  // a connection that has brought nothing of use is closed then
-    Micros idle = 8'000'000;    // one that has, and carries nothing any more
-    // What plays at a start is named as soon as the first test is passed; nothing is taken on after so much
-    // of this process's own time, of which a standstill is no part: what was sent then still lies in the
-    // sockets.
-    Micros adopting = 2'000'000;
+    std::size_t maxConnections = 0;
+    std::size_t maxPendingPerConnection = 32;  // flow limit: requests above it are throttled
+    Micros silentTimeout = 2'300'000;          // of a connection without a valid request or health check
+    Micros idleTimeout = 8'000'000;            // of a verified connection without calls
+    // Viewers report their running subscriptions as soon as the first health check has passed; adoptions are
+    // refused after this time. Stalls of the process do not count, since messages sent meanwhile still wait
+    // in the sockets.
+    Micros adoptionWindow = 2'000'000;
   };
+  // Counters since start, and current sizes.
   struct Statistics {
-    std::uint64_t accepted = 0, turnedAway = 0, useless = 0, unreadable = 0, floods = 0, saidAgain = 0;
+    // connectionsRefused: how often the connection limit closed or refused a connection.
+    std::uint64_t accepted = 0, connectionsRefused = 0, invalidRequests = 0, invalidMessages = 0,
+                  flowLimited = 0, retransmits = 0;
     std::size_t connections = 0, calls = 0;
   };
 
   Viewers(event_base* base, Handler& handler, const std::string& host, int port,
-          const control_settings::Names& names, const ControlSettings& terms, Limits bounds);
+          const control_settings::Names& names, const ControlSettings& settings, Limits limits);
   ~Viewers();
 
   int port() const;
+  // Returns null if the call is over.
   Call* find(session::CallId callId);
-  void playing(session::CallId callId, const std::string& desc);
+  // Answer a request. `description` is the node's answer; retryAfter 0 gives no retry time.
+  void playing(session::CallId callId, const std::string& description);
   void throttled(session::CallId callId, Micros retryAfter);
   void terminated(session::CallId callId);
+  // Tells the viewer that its subscription has ended. `finished`: normally.
   void ended(session::CallId callId, bool finished);
+  // Call regularly: timeouts of connections and releases, and freeing of connections.
   void tick(Micros now);
-  // Whether all that was to be said has been handed to the machine, and no message is half in.
-  bool settled() const;
+  // Whether all messages have been passed to the operating system, and no verified connection holds a partial
+  // message.
+  bool allSent() const;
   Statistics statistics() const;
 
  private:
-  struct Peer;
-  struct Held;
-  static void onAccept(evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* me);
-  void accepted(evutil_socket_t fd);
-  void heard(Peer& peer, jsonl::Message& message);
-  void offered(Peer& peer, const jsonl::Message& message);
-  bool read(const jsonl::Message& message, session::PlayRequest& ask, std::string& node) const;
-  void useless(Peer& peer, const std::string& call);
-  void named(Peer& peer, const Held& known, const jsonl::Message& message);
-  void down(Peer& peer);
-  void drop(Peer& peer);
+  struct ViewerConnection;
+  struct CallEntry;
+  static void onAccept(evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* self);
+  void acceptConnection(evutil_socket_t fd);
+  void handleMessage(ViewerConnection& viewer, jsonl::Message& message);
+  void handleOffer(ViewerConnection& viewer, const jsonl::Message& message);
+  bool parseOffer(const jsonl::Message& message, session::PlayRequest& request, std::string& node) const;
+  void rejectInvalid(ViewerConnection& viewer, const std::string& call);
+  void handleRepeatedAdoption(ViewerConnection& viewer, const CallEntry& existing,
+                              const jsonl::Message& message);
+  void handleClosed(ViewerConnection& viewer);
+  void closeConnection(ViewerConnection& viewer);
+  // The message that a subscription has ended, retransmitted until it is acknowledged or expires.
   struct Release {
     jsonl::Message message;
-    Micros since = 0;  // of the end that it tells
+    Micros endedAt = 0;  // when the subscription ended
   };
-  void proved(Peer& peer);
-  void say(const Release& release, Peer* first);
-  static bool tell(Peer& peer, const Release& release);
-  void turnAway(session::CallId callId, jsonl::Message message);
-  void forget(Held& held);
+  void markVerified(ViewerConnection& viewer);
+  void sendRelease(const Release& release, ViewerConnection* preferred);
+  static bool sendReleaseOn(ViewerConnection& viewer, const Release& release);
+  void rejectCall(session::CallId callId, jsonl::Message message);
+  void removeCall(CallEntry& entry);
 
   event_base* base_;
   Handler& handler_;
   control_settings::Names names_;
-  ControlSettings terms_;
-  Limits bounds_;
-  RetryAfterSchedule retryAfterSchedule_;  // for floods: the times are the module's, spread like its own
+  ControlSettings settings_;
+  Limits limits_;
+  RetryAfterSchedule
+      retryAfterSchedule_;  // of requests over the flow limit, spread as the decision module spreads its own
   net::Listener listener_;
-  session::CallId lastLine_ = 0;
-  std::uint64_t lastPeer_ = 0;
-  std::map<std::uint64_t, std::unique_ptr<Peer>> peers_;  // in the order they came
-  std::vector<std::unique_ptr<Peer>> dead_;
-  std::map<std::string, std::unique_ptr<Held>> calls_;
-  std::map<session::CallId, Held*> lines_;
-  bool passed_ = false;  // a test
-  Micros adoptsFor_ = 0;
-  Micros tickedAt_ = 0;
-  std::deque<Release> unsaid_;  // for which no connection was there
+  session::CallId lastCallId_ = 0;
+  std::uint64_t lastConnectionId_ = 0;
+  std::map<std::uint64_t, std::unique_ptr<ViewerConnection>> connections_;  // in order of arrival
+  std::vector<std::unique_ptr<ViewerConnection>> closedConnections_;        // freed in the next tick
+  std::map<std::string, std::unique_ptr<CallEntry>> calls_;                 // by the ID on the wire
+  std::map<session::CallId, CallEntry*> callsByCallId_;
+  bool testPassed_ = false;      // a health check has passed
+  Micros adoptionTimeLeft_ = 0;  // counted from the first passed health check
+  Micros lastTick_ = 0;
+  std::deque<Release> queuedReleases_;  // waiting for a verified connection
   Statistics statistics_;
 };
 
--- a/tests/discovery_test.h
+++ b/tests/discovery_test.h
@@ -1,4 +1,4 @@
-// A name server's answers as bytes, written for tests: names compressed, anything wrong on demand.
+// Builds DNS answers for tests, with compressed names and on demand with a failure code or another service.
 #pragma once
 
 #include <cstdint>
@@ -17,48 +17,48 @@
 
 class DnsWriter {
  public:
-  static std::string answer(std::uint16_t number, std::uint32_t serial, const std::vector<NodeRow>& rows,
+  static std::string answer(std::uint16_t queryId, std::uint32_t serial, const std::vector<NodeRow>& rows,
                             int rcode = 0, const std::string& service = "_api._tcp.svc.local") {
-    DnsWriter w;
-    w.put16(number);
-    w.put16(static_cast<unsigned>(0x8400 | rcode));
-    w.put16(1);
-    w.put16(static_cast<unsigned>(rows.size()));
-    w.put16(1);
-    w.put16(static_cast<unsigned>(2 * rows.size()));
-    w.name(service);
-    w.put16(33);
-    w.put16(1);
+    DnsWriter writer;
+    writer.put16(queryId);
+    writer.put16(static_cast<unsigned>(0x8400 | rcode));
+    writer.put16(1);
+    writer.put16(static_cast<unsigned>(rows.size()));
+    writer.put16(1);
+    writer.put16(static_cast<unsigned>(2 * rows.size()));
+    writer.name(service);
+    writer.put16(33);
+    writer.put16(1);
     for (const NodeRow& row : rows)
-      w.record(service, 33, [&] {
-        w.put16(row.draining ? 1 : 0);
-        w.put16(40);
-        w.put16(static_cast<unsigned>(row.port));
-        w.name(row.name + "." + row.zone + ".hosts");
+      writer.record(service, 33, [&] {
+        writer.put16(row.draining ? 1 : 0);
+        writer.put16(40);
+        writer.put16(static_cast<unsigned>(row.port));
+        writer.name(row.name + "." + row.zone + ".hosts");
       });
-    w.record("svc.local", 6, [&] {
-      w.name("ns.svc.local");
-      w.name("admin.svc.local");
-      w.put32(serial);
-      for (int i = 0; i < 4; ++i) w.put32(1);
+    writer.record("svc.local", 6, [&] {
+      writer.name("ns.svc.local");
+      writer.name("admin.svc.local");
+      writer.put32(serial);
+      for (int i = 0; i < 4; ++i) writer.put32(1);
     });
     for (const NodeRow& row : rows) {
       const std::string host = row.name + "." + row.zone + ".hosts";
-      w.record(host, 1, [&] {
+      writer.record(host, 1, [&] {
         unsigned value = 0;
         for (const char c : row.host + ".")
           if (c == '.')
-            w.bytes_ += static_cast<char>(value), value = 0;
+            writer.bytes_ += static_cast<char>(value), value = 0;
           else
             value = value * 10 + static_cast<unsigned>(c - '0');
       });
-      w.record(host, 16, [&] {
+      writer.record(host, 16, [&] {
         for (const std::string& text : {"kind=" + row.kind, "cell=" + std::to_string(row.cell),
                                         "started=" + std::to_string(row.started)})
-          w.bytes_ += static_cast<char>(text.size()) + text;
+          writer.bytes_ += static_cast<char>(text.size()) + text;
       });
     }
-    return w.bytes_;
+    return writer.bytes_;
   }
 
  private:
@@ -72,8 +72,9 @@
   }
   void name(std::string text) {
     while (!text.empty()) {
-      if (const auto it = at_.find(text); it != at_.end()) return put16(0xc000 | it->second);
-      at_[text] = static_cast<unsigned>(bytes_.size());
+      if (const auto it = nameOffsets_.find(text); it != nameOffsets_.end())
+        return put16(0xc000 | it->second);
+      nameOffsets_[text] = static_cast<unsigned>(bytes_.size());
       const std::size_t dot = text.find('.');
       const std::string label = text.substr(0, dot);
       bytes_ += static_cast<char>(label.size()) + label;
@@ -95,7 +96,7 @@
     bytes_[size + 1] = static_cast<char>(used);
   }
   std::string bytes_;
-  std::map<std::string, unsigned> at_;
+  std::map<std::string, unsigned> nameOffsets_;
 };
 
 }  // namespace lupinsill::tests
--- a/tests/endings_test.cpp
+++ b/tests/endings_test.cpp
@@ -1,6 +1,6 @@
-// What `lupinsill run` owes at the instant at which something ends, each in the bad order, forced: the
-// process is stopped while both things happen, or the other side holds back. docs/design/endings.md has the
-// walk.
+// Tests `lupinsill run` for races around the end of requests, subscriptions, connections and the process
+// itself. The adverse order of events is forced: the process is paused while both events happen, or a stub
+// peer delays its part.
 #include "platform_rig.h"
 
 using namespace lupinsill;
@@ -9,452 +9,467 @@
 
 namespace {
 
-void settle(Talk& talk) {  // all that was written before this has been read by the director
-  talk.say(word(Op::test, "00000000000000ff"));
-  talk.need(Op::tested, "00000000000000ff");
+// Returns once the director has processed everything that was sent on the connection before.
+void awaitProcessed(TestConnection& connection) {
+  connection.send(makeMessage(Op::test, "00000000000000ff"));
+  connection.expect(Op::tested, "00000000000000ff");
 }
-// The name server is asked so many times more.
-void asks(const NameServer& names, int times) {
-  const int until = names.asked + times;
-  for (int i = 0; i < 1'000 && names.asked < until; ++i)
+// Returns once the name server has received this many more queries.
+void awaitQueries(const StubNameServer& nameServer, int times) {
+  const int until = nameServer.queryCount + times;
+  for (int i = 0; i < 1'000 && nameServer.queryCount < until; ++i)
     std::this_thread::sleep_for(std::chrono::milliseconds(5));
-  REQUIRE(names.asked >= until);
+  REQUIRE(nameServer.queryCount >= until);
 }
-Talk proven(const Rig& rig) {
-  Talk talk = rig.viewer();
-  settle(talk);
-  return talk;
+// Returns a connection on which the director has received a valid message.
+TestConnection verifiedViewer(const TestHarness& harness) {
+  TestConnection connection = harness.viewer();
+  awaitProcessed(connection);
+  return connection;
 }
-// While it is stopped things happen that it then finds all at once.
-struct Stopped {
+// Pauses the director during its lifetime, so that it finds all events of that time at once.
+struct PausedProcess {
   pid_t process;
-  explicit Stopped(const Rig& rig) : process(rig.process) {
+  explicit PausedProcess(const TestHarness& harness) : process(harness.process) {
     kill(process, SIGSTOP);
     int status = 0;
     waitpid(process, &status, WUNTRACED);
   }
-  ~Stopped() { kill(process, SIGCONT); }
+  ~PausedProcess() { kill(process, SIGCONT); }
 };
-// A subscription that stands, and its node's connection.
-Talk stands(Rig& rig, Talk& viewer, const std::string& call) {
-  viewer.say(offer(call));
-  Arrived at = arrive(rig, call);
-  at.talk.say(accepted(call));
-  viewer.need(Op::accept, call);
-  return std::move(at.talk);
+// Establishes a subscription and returns the node's connection that carries it.
+TestConnection establishSubscription(TestHarness& harness, TestConnection& viewer, const std::string& call) {
+  viewer.send(makeOffer(call));
+  ReceivedOffer received = awaitOffer(harness, call);
+  received.connection.send(makeAccept(call));
+  viewer.expect(Op::accept, call);
+  return std::move(received.connection);
+}
+void useLongConnectTimeout(Json& configuration) {
+  configuration["settings"]["limits"]["connectTimeoutNs"] = 8e9;
 }
-void slowConnect(Json& all) { all["settings"]["limits"]["connectTimeoutNs"] = 8e9; }
 
-// A node whose queue of connections is full: no new one comes up before `open`, and then it does.
-struct Shy {
-  Listening& node;
-  std::vector<Talk> fillers;
-  explicit Shy(Listening& listening) : node(listening) {
+// Fills the accept backlog of a node: no new connection is established before open(), and then one is.
+struct BacklogFullNode {
+  StubNode& node;
+  std::vector<TestConnection> fillers;
+  explicit BacklogFullNode(StubNode& listening) : node(listening) {
     listen(node.fd, 0);
-    fillers.push_back(Talk::to(node.port()));
+    fillers.push_back(TestConnection::to(node.port()));
   }
   void open() {
     listen(node.fd, 64);
-    fillers.push_back(node.take());
+    fillers.push_back(node.accept());
   }
 };
-// Of all that comes to a node within the time, whether a set-up is among it.
-bool offered(Listening& node, int ms) {
-  const auto until = Clock::now() + std::chrono::milliseconds(ms);
-  std::vector<Talk> talks;
+// Whether the node receives an offer within the time, on any of its connections.
+bool receivesOffer(StubNode& node, int milliseconds) {
+  const auto until = Clock::now() + std::chrono::milliseconds(milliseconds);
+  std::vector<TestConnection> connections;
   while (Clock::now() < until) {
-    if (auto talk = node.tryAccept(20)) talks.push_back(std::move(*talk));
-    for (Talk& talk : talks)
-      if (const auto message = talk.hear(5); message && message->op == Op::offer) return true;
+    if (auto connection = node.tryAccept(20)) connections.push_back(std::move(*connection));
+    for (TestConnection& connection : connections)
+      if (const auto message = connection.receive(5); message && message->op == Op::offer) return true;
   }
   return false;
 }
 
 }  // namespace
 
-TEST_CASE("A join that waits for its connection does not leave once its viewer has gone") {
-  const bool cancelling = GENERATE(true, false), atOnce = GENERATE(true, false);
-  enum { says, closes, closesHalf };
-  const int how = GENERATE(+says, +closes, +closesHalf);
-  CAPTURE(cancelling, atOnce, how);
-  Rig rig(1, 1024, [&](Json& all) {
-    slowConnect(all);
-    all["settings"]["limits"]["cancelling"] = cancelling;
+TEST_CASE("A join that waits for its connection is not written after its viewer has left") {
+  const bool cancelling = GENERATE(true, false), inOnePass = GENERATE(true, false);
+  enum { sendsEnd, closesConnection, halfCloses };
+  const int leaving = GENERATE(+sendsEnd, +closesConnection, +halfCloses);
+  CAPTURE(cancelling, inOnePass, leaving);
+  TestHarness harness(1, 1024, [&](Json& configuration) {
+    useLongConnectTimeout(configuration);
+    configuration["settings"]["limits"]["cancelling"] = cancelling;
   });
-  Talk other = proven(rig);
-  Shy node(rig.nodes[0]);
-  Talk viewer = rig.viewer();
-  const std::string call = rig.freshCall();
-  viewer.say(offer(call));
-  settle(other);
+  TestConnection other = verifiedViewer(harness);
+  BacklogFullNode node(harness.nodes[0]);
+  TestConnection viewer = harness.viewer();
+  const std::string call = harness.newCallId();
+  viewer.send(makeOffer(call));
+  awaitProcessed(other);
   {
-    // At once: that the viewer went and that the connection came up are found in one pass of the loop.
-    std::optional<Stopped> stopped;
-    if (atOnce) stopped.emplace(rig);
-    if (how == says) viewer.say(word(Op::end, call, 16));
-    if (how == closes) viewer.drop();
-    if (how == closesHalf) shutdown(viewer.fd, SHUT_WR);
-    if (!atOnce) settle(other);
+    // In one pass: the event loop finds the viewer's leave and the established connection in the same pass.
+    std::optional<PausedProcess> paused;
+    if (inOnePass) paused.emplace(harness);
+    if (leaving == sendsEnd) viewer.send(makeMessage(Op::end, call, 16));
+    if (leaving == closesConnection) viewer.close();
+    if (leaving == halfCloses) shutdown(viewer.fd, SHUT_WR);
+    if (!inOnePass) awaitProcessed(other);
     node.open();
-    if (atOnce)
-      std::this_thread::sleep_for(std::chrono::milliseconds(1'200));  // the machine tries again after 1 s
+    if (inOnePass)
+      std::this_thread::sleep_for(std::chrono::milliseconds(1'200));  // TCP repeats the SYN after 1 s
   }
-  CHECK(!offered(rig.nodes[0], 2'000));
-  settle(other);
+  CHECK(!receivesOffer(harness.nodes[0], 2'000));
+  awaitProcessed(other);
 }
 
-TEST_CASE("A viewer that goes while its join is out or stands: its node hears of it, and no other one does") {
-  const bool cancelling = GENERATE(true, false), closes = GENERATE(true, false);
-  CAPTURE(cancelling, closes);
-  Rig rig(2, 1024, [&](Json& all) { all["settings"]["limits"]["cancelling"] = cancelling; });
-  Talk other = proven(rig);
-  Talk viewer = rig.viewer();
-  const std::string call = rig.freshCall();
-  viewer.say(offer(call));
-  Arrived at = arrive(rig, call);
-  const auto goes = [&] {
-    if (closes)
-      viewer.drop();
+TEST_CASE("When a viewer leaves during or after its join, only the node of that join is told") {
+  const bool cancelling = GENERATE(true, false), closesConnection = GENERATE(true, false);
+  CAPTURE(cancelling, closesConnection);
+  TestHarness harness(
+      2, 1024, [&](Json& configuration) { configuration["settings"]["limits"]["cancelling"] = cancelling; });
+  TestConnection other = verifiedViewer(harness);
+  TestConnection viewer = harness.viewer();
+  const std::string call = harness.newCallId();
+  viewer.send(makeOffer(call));
+  ReceivedOffer received = awaitOffer(harness, call);
+  const auto leave = [&] {
+    if (closesConnection)
+      viewer.close();
     else
-      viewer.say(word(Op::end, call, 16));
-    settle(other);
+      viewer.send(makeMessage(Op::end, call, 16));
+    awaitProcessed(other);
   };
-  SECTION("out, and then it begins") {
-    goes();
-    if (!cancelling) at.talk.say(accepted(call));
-    CHECK(at.talk.need(Op::end, call).why == 16);
+  SECTION("in flight, then accepted") {
+    leave();
+    if (!cancelling) received.connection.send(makeAccept(call));
+    CHECK(received.connection.expect(Op::end, call).reasonCode == 16);
   }
-  SECTION("out, and then it is refused") {
-    goes();
-    at.talk.say(word(Op::end, call, 34));
+  SECTION("in flight, then refused") {
+    leave();
+    received.connection.send(makeMessage(Op::end, call, 34));
   }
-  SECTION("it stands") {
-    at.talk.say(accepted(call));
-    viewer.need(Op::accept, call);
-    goes();
-    // What stands belongs to no connection: only a word ends it.
-    if (closes) CHECK(!at.talk.hear(100));
-    if (!closes) CHECK(at.talk.need(Op::end, call).why == 16);
+  SECTION("established") {
+    received.connection.send(makeAccept(call));
+    viewer.expect(Op::accept, call);
+    leave();
+    // An established subscription belongs to no connection: only an end message ends it.
+    if (closesConnection) CHECK(!received.connection.receive(100));
+    if (!closesConnection) CHECK(received.connection.expect(Op::end, call).reasonCode == 16);
   }
-  CHECK(!offered(rig.nodes[1 - at.node], 300));
+  CHECK(!receivesOffer(harness.nodes[1 - received.node], 300));
 }
 
-TEST_CASE("A connection that came up and was closed again before the write costs a paid set-up nothing") {
-  Rig rig(1, 1024, slowConnect);
-  Talk viewer = proven(rig);
-  Shy node(rig.nodes[0]);
-  const std::string call = rig.freshCall();
-  Message paid = offer(call, "paid", 15'000);
-  viewer.say(paid);
-  settle(viewer);
+TEST_CASE("A connection that the node closed before the write does not fail a paid request") {
+  TestHarness harness(1, 1024, useLongConnectTimeout);
+  TestConnection viewer = verifiedViewer(harness);
+  BacklogFullNode node(harness.nodes[0]);
+  const std::string call = harness.newCallId();
+  Message paid = makeOffer(call, "paid", 15'000);
+  viewer.send(paid);
+  awaitProcessed(viewer);
   {
-    const Stopped stopped(rig);
+    const PausedProcess paused(harness);
     node.open();
-    rig.nodes[0].take().drop();  // the director's, once the machine has tried again
+    harness.nodes[0].accept().close();  // the director's connection, once TCP has repeated the SYN
   }
-  Arrived at = arrive(rig, call);
-  at.talk.say(accepted(call));
-  viewer.need(Op::accept, call);
+  ReceivedOffer received = awaitOffer(harness, call);
+  received.connection.send(makeAccept(call));
+  viewer.expect(Op::accept, call);
 }
 
-TEST_CASE("What stands at nodes outlives a list that lost them, once it is whole again") {
-  Rig rig(3);
-  Talk viewer = proven(rig);
-  const std::string call = rig.freshCall();
-  Talk node = stands(rig, viewer, call);
-  auto rows = rig.rows();
-  rig.names->set(2, {});
-  asks(*rig.names, 2);
-  rig.names->set(3, rows);
-  asks(*rig.names, 3);
-  // It goes on, and its viewer is not told otherwise, not even when the doubt would be over: half the grace.
-  CHECK(!viewer.hear(2'500));
-  CHECK(!node.hear(100));
-  node.say(word(Op::end, call, 16));
-  CHECK(viewer.need(Op::end, call).why == 16);
+TEST_CASE("Subscriptions survive an empty list that is followed by a complete one") {
+  TestHarness harness(3);
+  TestConnection viewer = verifiedViewer(harness);
+  const std::string call = harness.newCallId();
+  TestConnection node = establishSubscription(harness, viewer, call);
+  auto rows = harness.nodeRows();
+  harness.nameServer->set(2, {});
+  awaitQueries(*harness.nameServer, 2);
+  harness.nameServer->set(3, rows);
+  awaitQueries(*harness.nameServer, 3);
+  // The subscription goes on and nobody is told that it ended, even after half the grace period, when the
+  // empty list would have been confirmed.
+  CHECK(!viewer.receive(2'500));
+  CHECK(!node.receive(100));
+  node.send(makeMessage(Op::end, call, 16));
+  CHECK(viewer.expect(Op::end, call).reasonCode == 16);
 }
 
-TEST_CASE("A release that meets its viewer's close is said on another connection") {
-  Rig rig(1);
-  Talk other = proven(rig);
-  Talk viewer = proven(rig);
-  const std::string call = rig.freshCall();
-  Talk node = stands(rig, viewer, call);
-  Talk latest = proven(rig);
+TEST_CASE("A release that crosses its viewer's close is retransmitted on another connection") {
+  TestHarness harness(1);
+  TestConnection other = verifiedViewer(harness);
+  TestConnection viewer = verifiedViewer(harness);
+  const std::string call = harness.newCallId();
+  TestConnection node = establishSubscription(harness, viewer, call);
+  TestConnection latest = verifiedViewer(harness);
   SECTION("both found in one pass, the end first") {
-    const Stopped stopped(rig);
-    node.say(word(Op::end, call, 16));
-    viewer.drop();
+    const PausedProcess paused(harness);
+    node.send(makeMessage(Op::end, call, 16));
+    viewer.close();
   }
-  SECTION("said, but its connection broke before it was heard") {
-    node.say(word(Op::end, call, 16));
+  SECTION("sent, but the connection broke before it was received") {
+    node.send(makeMessage(Op::end, call, 16));
     pollfd p{viewer.fd, POLLIN, 0};
     REQUIRE(poll(&p, 1, 5'000) == 1);
     viewer.reset();
   }
-  CHECK(latest.need(Op::end, call).why == 16);
-  latest.say(word(Op::ended, call));
-  latest.drop();
-  CHECK(!other.hear(300));  // heard and acknowledged: not said again
+  CHECK(latest.expect(Op::end, call).reasonCode == 16);
+  latest.send(makeMessage(Op::ended, call));
+  latest.close();
+  CHECK(!other.receive(300));  // the release was acknowledged, so it is not retransmitted
 }
 
-TEST_CASE("A release with no connection left is not for one that says nothing, and comes once") {
-  Rig rig(1);
-  Talk viewer = proven(rig);
-  const std::string call = rig.freshCall();
-  Talk node = stands(rig, viewer, call);
-  viewer.drop();
-  node.say(word(Op::end, call, 16));
-  node.need(Op::ended, call);
-  Talk silent = rig.viewer();
-  Talk back = rig.viewer();
-  back.say(word(Op::test, "0000000000000001"));
-  bool told = false, passed = false;
+TEST_CASE("A release without a connection waits for a verified one and is sent once") {
+  TestHarness harness(1);
+  TestConnection viewer = verifiedViewer(harness);
+  const std::string call = harness.newCallId();
+  TestConnection node = establishSubscription(harness, viewer, call);
+  viewer.close();
+  node.send(makeMessage(Op::end, call, 16));
+  node.expect(Op::ended, call);
+  TestConnection silent = harness.viewer();
+  TestConnection returning = harness.viewer();
+  returning.send(makeMessage(Op::test, "0000000000000001"));
+  bool released = false, passed = false;
   for (int i = 0; i < 2; ++i) {
-    const auto message = back.hear();
+    const auto message = returning.receive();
     REQUIRE(message);
-    told = told || (message->op == Op::end && message->call == call);
+    released = released || (message->op == Op::end && message->call == call);
     passed = passed || message->op == Op::tested;
   }
-  CHECK(told);
+  CHECK(released);
   CHECK(passed);
-  CHECK(!silent.hear(200));
+  CHECK(!silent.receive(200));
 }
 
-TEST_CASE("An imitation of what plays is turned away, and what plays goes on") {
-  Rig rig(1);
-  Talk viewer = proven(rig);
-  const std::string call = rig.freshCall();
-  Message plays = offer(call);
-  plays.with["extras"] += ";at:s-0";
-  viewer.say(plays);
-  Talk node = rig.nodes[0].take();  // a connection is kept for its release
-  Talk other = rig.viewer();
-  Message same = plays;
-  same.desc = "another";
-  other.say(same);
-  CHECK(other.closes(1'000));
-  std::this_thread::sleep_for(std::chrono::milliseconds(2'200));  // the time in which a start's are named
-  Talk late = rig.viewer();
-  Message fresh = plays;
-  fresh.call = rig.freshCall();
-  late.say(fresh);
-  const auto end = late.hear(1'000);
+TEST_CASE("A forged adoption is rejected, and the real subscription goes on") {
+  TestHarness harness(1);
+  TestConnection viewer = verifiedViewer(harness);
+  const std::string call = harness.newCallId();
+  Message adoption = makeOffer(call);
+  adoption.fields["extras"] += ";at:s-0";
+  viewer.send(adoption);
+  TestConnection node = harness.nodes[0].accept();  // one connection is kept for its release
+  TestConnection other = harness.viewer();
+  Message forged = adoption;
+  forged.description = "another";
+  other.send(forged);
+  CHECK(other.isClosedWithin(1'000));
+  std::this_thread::sleep_for(std::chrono::milliseconds(2'200));  // longer than the adoption window
+  TestConnection late = harness.viewer();
+  Message fresh = adoption;
+  fresh.call = harness.newCallId();
+  late.send(fresh);
+  const auto end = late.receive(1'000);
   REQUIRE(end);
   CHECK(end->op == Op::end);
   CHECK(end->call == fresh.call);
-  viewer.say(plays);  // named again by its own viewer: nothing comes of it
-  node.say(word(Op::end, call, 16));
-  CHECK(viewer.need(Op::end, call).why == 16);
+  viewer.send(adoption);  // reported again by its own viewer: no effect
+  node.send(makeMessage(Op::end, call, 16));
+  CHECK(viewer.expect(Op::end, call).reasonCode == 16);
 }
 
-TEST_CASE("What plays at a start is taken on though the process stood still as it was named") {
-  Rig rig(1);
-  Talk viewer = proven(rig);
-  const std::string call = rig.freshCall();
+TEST_CASE("A running subscription is adopted although the process stalled when it was reported") {
+  TestHarness harness(1);
+  TestConnection viewer = verifiedViewer(harness);
+  const std::string call = harness.newCallId();
   {
-    const Stopped stopped(rig);
-    Message plays = offer(call);
-    plays.with["extras"] += ";at:s-0";
-    viewer.say(plays);
+    const PausedProcess paused(harness);
+    Message adoption = makeOffer(call);
+    adoption.fields["extras"] += ";at:s-0";
+    viewer.send(adoption);
     std::this_thread::sleep_for(std::chrono::milliseconds(2'500));
   }
-  Talk node = rig.nodes[0].take();
-  node.say(word(Op::end, call, 16));
-  CHECK(viewer.need(Op::end, call).why == 16);
+  TestConnection node = harness.nodes[0].accept();
+  node.send(makeMessage(Op::end, call, 16));
+  CHECK(viewer.expect(Op::end, call).reasonCode == 16);
 }
 
-TEST_CASE("SIGTERM at each state of a request: all of it is answered, and nothing owed is left behind") {
-  Rig rig(2, 1024, slowConnect);
-  Talk viewer = proven(rig);
-  const std::string call = rig.freshCall();
-  const auto later = [](int ms) { std::this_thread::sleep_for(std::chrono::milliseconds(ms)); };
-  SECTION("half of it has come; the rest comes when all else is done") {
-    const std::string bytes = jsonl::bytesOf(offer(call));
-    viewer.bytes(bytes.substr(0, 40));
-    Talk other = proven(rig);
-    kill(rig.process, SIGTERM);
-    later(1'500);
-    viewer.bytes(bytes.substr(40));
-    arrive(rig, call).talk.say(accepted(call));
-    viewer.need(Op::accept, call);
+TEST_CASE("After SIGTERM a request in any state is answered, and no answer or release is lost") {
+  TestHarness harness(2, 1024, useLongConnectTimeout);
+  TestConnection viewer = verifiedViewer(harness);
+  const std::string call = harness.newCallId();
+  const auto sleepMs = [](int milliseconds) {
+    std::this_thread::sleep_for(std::chrono::milliseconds(milliseconds));
+  };
+  SECTION("partially received; the rest arrives after all other work is done") {
+    const std::string bytes = jsonl::serialize(makeOffer(call));
+    viewer.sendBytes(bytes.substr(0, 40));
+    TestConnection other = verifiedViewer(harness);
+    kill(harness.process, SIGTERM);
+    sleepMs(1'500);
+    viewer.sendBytes(bytes.substr(40));
+    awaitOffer(harness, call).connection.send(makeAccept(call));
+    viewer.expect(Op::accept, call);
   }
-  SECTION("read in the same pass as the signal, on a connection that is new") {
-    Talk fresh(-1);
+  SECTION("read in the same pass as the signal, on a new connection") {
+    TestConnection fresh(-1);
     {
-      const Stopped stopped(rig);
-      kill(rig.process, SIGTERM);
-      fresh = rig.viewer();
-      fresh.say(offer(call));
-      later(1'500);
+      const PausedProcess paused(harness);
+      kill(harness.process, SIGTERM);
+      fresh = harness.viewer();
+      fresh.send(makeOffer(call));
+      sleepMs(1'500);
     }
-    arrive(rig, call).talk.say(accepted(call));
-    fresh.need(Op::accept, call);
+    awaitOffer(harness, call).connection.send(makeAccept(call));
+    fresh.expect(Op::accept, call);
   }
   SECTION("its join waits for a connection") {
-    Shy first(rig.nodes[0]), second(rig.nodes[1]);
-    viewer.say(offer(call));
-    Talk other = proven(rig);
-    kill(rig.process, SIGTERM);
-    const auto end = viewer.hear(3'000);
+    BacklogFullNode first(harness.nodes[0]), second(harness.nodes[1]);
+    viewer.send(makeOffer(call));
+    TestConnection other = verifiedViewer(harness);
+    kill(harness.process, SIGTERM);
+    const auto end = viewer.receive(3'000);
     REQUIRE(end);
     CHECK(end->op == Op::end);
-    CHECK(end->why == 34);  // none of its joins ever left
+    CHECK(end->reasonCode == 34);  // none of its joins was written
     CHECK(end->find("wait") != nullptr);
   }
-  SECTION("its join is out, and the node says nothing") {
+  SECTION("its join is in flight, and the node does not answer") {
     const std::string room = GENERATE("clip", "paid");
-    viewer.say(offer(call, room, room == "paid" ? 900 : 1'900));
-    Arrived at = arrive(rig, call);
-    kill(rig.process, SIGTERM);
-    const auto end = viewer.hear(2'200);
+    viewer.send(makeOffer(call, room, room == "paid" ? 900 : 1'900));
+    ReceivedOffer received = awaitOffer(harness, call);
+    kill(harness.process, SIGTERM);
+    const auto end = viewer.receive(2'200);
     REQUIRE(end);
     CHECK(end->op == Op::end);
-    CHECK((end->why == 34) == (room == "clip"));
+    CHECK((end->reasonCode == 34) == (room == "clip"));
   }
-  SECTION("it stands, and ends when no connection of its viewer is left") {
-    Talk node = stands(rig, viewer, call);
-    viewer.drop();
-    viewer = proven(rig);
-    viewer.drop();
-    kill(rig.process, SIGTERM);
-    node.say(word(Op::end, call, 16));
-    node.need(Op::ended, call);
-    later(1'500);
-    Talk back = rig.viewer();
-    back.say(word(Op::test, "0000000000000001"));
-    bool told = false;
+  SECTION("established, and ends when no connection of its viewer is left") {
+    TestConnection node = establishSubscription(harness, viewer, call);
+    viewer.close();
+    viewer = verifiedViewer(harness);
+    viewer.close();
+    kill(harness.process, SIGTERM);
+    node.send(makeMessage(Op::end, call, 16));
+    node.expect(Op::ended, call);
+    sleepMs(1'500);
+    TestConnection returning = harness.viewer();
+    returning.send(makeMessage(Op::test, "0000000000000001"));
+    bool released = false;
     for (int i = 0; i < 2; ++i)
-      if (const auto message = back.hear()) told = told || message->op == Op::end;
-    CHECK(told);
+      if (const auto message = returning.receive()) released = released || message->op == Op::end;
+    CHECK(released);
   }
-  CHECK(rig.ends(4'000) == 0);
+  CHECK(harness.exitCodeWithin(4'000) == 0);
 }
 
-TEST_CASE("A deadline longer than the time until SIGKILL does not keep an answer back") {
-  Rig rig(1, 1024, [](Json& all) { all["settings"]["classes"][1]["deadlineNs"] = 20e9; });
-  Talk viewer = proven(rig);
-  const std::string before = rig.freshCall(), after = rig.freshCall();
-  viewer.say(offer(before, "paid", 19'000));
-  Arrived at = arrive(rig, before);
-  kill(rig.process, SIGTERM);
-  Talk fresh = rig.viewer();
-  fresh.say(offer(after, "paid", 19'000));
-  CHECK(viewer.hear(3'700));
-  CHECK(fresh.hear(500));
-  CHECK(rig.ends(1'000) == 0);
+TEST_CASE("A client timeout beyond the time of SIGKILL does not delay an answer past it") {
+  TestHarness harness(
+      1, 1024, [](Json& configuration) { configuration["settings"]["classes"][1]["deadlineNs"] = 20e9; });
+  TestConnection viewer = verifiedViewer(harness);
+  const std::string before = harness.newCallId(), after = harness.newCallId();
+  viewer.send(makeOffer(before, "paid", 19'000));
+  ReceivedOffer received = awaitOffer(harness, before);
+  kill(harness.process, SIGTERM);
+  TestConnection fresh = harness.viewer();
+  fresh.send(makeOffer(after, "paid", 19'000));
+  CHECK(viewer.receive(3'700));
+  CHECK(fresh.receive(500));
+  CHECK(harness.exitCodeWithin(1'000) == 0);
 }
 
-TEST_CASE("A name server silent for good: what is there serves on, and what it says in the end is heard") {
-  Rig rig(2);
-  rig.names->mute = true;
-  Talk viewer = proven(rig);
-  const std::string first = rig.freshCall();
-  viewer.say(offer(first));
-  Arrived at = arrive(rig, first);
-  at.talk.say(accepted(first));
-  viewer.need(Op::accept, first);
-  // The process there dies unheard, and nothing takes its place.
-  at.talk.reset();
-  rig.nodes[at.node].shut();
-  CHECK(viewer.need(Op::end, first).why == 41);
+TEST_CASE("A silent name server does not stop service, and its next answer is used") {
+  TestHarness harness(2);
+  harness.nameServer->silent = true;
+  TestConnection viewer = verifiedViewer(harness);
+  const std::string first = harness.newCallId();
+  viewer.send(makeOffer(first));
+  ReceivedOffer received = awaitOffer(harness, first);
+  received.connection.send(makeAccept(first));
+  viewer.expect(Op::accept, first);
+  // The node process dies, the list never says so, and no other node replaces it.
+  received.connection.reset();
+  harness.nodes[received.node].stopListening();
+  CHECK(viewer.expect(Op::end, first).reasonCode == 41);
   std::optional<Message> answer;
   for (int i = 0; i < 5 && !answer; ++i) {
-    const std::string call = rig.freshCall();
-    viewer.say(offer(call));
-    if (auto talk = rig.nodes[1 - at.node].tryAccept(500))
-      if (const auto message = talk->hear(1'000); message && message->op == Op::offer)
-        talk->say(accepted(message->call)), answer = viewer.hear();
-    if (!answer) viewer.hear(2'500);
+    const std::string call = harness.newCallId();
+    viewer.send(makeOffer(call));
+    if (auto connection = harness.nodes[1 - received.node].tryAccept(500))
+      if (const auto message = connection->receive(1'000); message && message->op == Op::offer)
+        connection->send(makeAccept(message->call)), answer = viewer.receive();
+    if (!answer) viewer.receive(2'500);
   }
   REQUIRE(answer);
   CHECK(answer->op == Op::accept);
-  asks(*rig.names, 2);  // it goes on asking
-  auto rows = rig.rows();
-  rows[1 - at.node].draining = true;
-  rig.names->set(9, rows);
-  rig.names->mute = false;
-  asks(*rig.names, 3);
-  const std::string last = rig.freshCall();
-  viewer.say(offer(last));
-  CHECK(viewer.need(Op::end, last).why == 34);
+  awaitQueries(*harness.nameServer, 2);  // the polling goes on
+  auto rows = harness.nodeRows();
+  rows[1 - received.node].draining = true;
+  harness.nameServer->set(9, rows);
+  harness.nameServer->silent = false;
+  awaitQueries(*harness.nameServer, 3);
+  const std::string last = harness.newCallId();
+  viewer.send(makeOffer(last));
+  CHECK(viewer.expect(Op::end, last).reasonCode == 34);
 }
 
 TEST_CASE(
-    "SIGHUP with idle clients on every descriptor and no name server: the file's list and the new one "
-    "count") {
-  Rig rig(2, 256);
-  Talk viewer = proven(rig);
-  rig.names->mute = true;
-  std::vector<Talk> crowd;
-  for (int i = 0; i < 400; ++i) crowd.push_back(rig.viewer());
-  SECTION("a list in the file that is newer than what is known") {
-    rig.change = [](Json& all) {
-      all["known"]["n"] = 7;
-      for (Json& entry : all["known"]["events"][0]["members"]["endpoints"]) entry["status"] = "draining";
+    "SIGHUP works with idle clients on every descriptor and a silent name server: the new file's list and "
+    "resolver take effect") {
+  TestHarness harness(2, 256);
+  TestConnection viewer = verifiedViewer(harness);
+  harness.nameServer->silent = true;
+  std::vector<TestConnection> idleClients;
+  for (int i = 0; i < 400; ++i) idleClients.push_back(harness.viewer());
+  SECTION("the list in the file is newer than the known one") {
+    harness.editConfiguration = [](Json& configuration) {
+      configuration["known"]["n"] = 7;
+      for (Json& entry : configuration["known"]["events"][0]["members"]["endpoints"])
+        entry["status"] = "draining";
     };
-    rig.write();
-    kill(rig.process, SIGHUP);
-    settle(viewer);
-    const std::string call = rig.freshCall();
-    viewer.say(offer(call));
-    CHECK(viewer.need(Op::end, call).why == 34);
-    for (Listening& node : rig.nodes) CHECK(!offered(node, 100));
+    harness.writeConfiguration();
+    kill(harness.process, SIGHUP);
+    awaitProcessed(viewer);
+    const std::string call = harness.newCallId();
+    viewer.send(makeOffer(call));
+    CHECK(viewer.expect(Op::end, call).reasonCode == 34);
+    for (StubNode& node : harness.nodes) CHECK(!receivesOffer(node, 100));
   }
-  SECTION("a resolver that is no address: the old one is asked on") {
-    rig.change = [](Json& all) { all["resolver"] = "nowhere:53"; };
-    rig.write();
-    kill(rig.process, SIGHUP);
-    asks(*rig.names, 3);
+  SECTION("an invalid resolver address: the previous one is still queried") {
+    harness.editConfiguration = [](Json& configuration) { configuration["resolver"] = "nowhere:53"; };
+    harness.writeConfiguration();
+    kill(harness.process, SIGHUP);
+    awaitQueries(*harness.nameServer, 3);
   }
-  SECTION("another name server, which has lost count: serving goes on") {
-    NameServer second(rig.rows());
-    second.set(1, rig.rows());
-    rig.change = [&](Json& all) { all["resolver"] = "127.0.0.1:" + std::to_string(portOf(second.fd)); };
-    rig.write();
-    kill(rig.process, SIGHUP);
-    asks(second, 3);
-    const std::string call = rig.freshCall();
-    viewer.say(offer(call));
-    arrive(rig, call).talk.say(accepted(call));
-    viewer.need(Op::accept, call);
+  SECTION("another name server whose serial has started over: service goes on") {
+    StubNameServer second(harness.nodeRows());
+    second.set(1, harness.nodeRows());
+    harness.editConfiguration = [&](Json& configuration) {
+      configuration["resolver"] = "127.0.0.1:" + std::to_string(portOf(second.fd));
+    };
+    harness.writeConfiguration();
+    kill(harness.process, SIGHUP);
+    awaitQueries(second, 3);
+    const std::string call = harness.newCallId();
+    viewer.send(makeOffer(call));
+    awaitOffer(harness, call).connection.send(makeAccept(call));
+    viewer.expect(Op::accept, call);
   }
 }
 
-TEST_CASE("A start without a list refuses at once with a time to come back, and serves once it has one") {
-  Rig rig(1, 1024, [](Json& all) { all["known"] = {{"n", 0}, {"events", Json::array()}}; });
-  // The list of the start may be in already: what matters is that each ask has its answer.
-  rig.names->mute = true;
-  rig.names->set(3, {});
-  Talk viewer = rig.viewer();
+TEST_CASE("Without a node list, requests are throttled at once with a retry time until a list arrives") {
+  TestHarness harness(1, 1024, [](Json& configuration) {
+    configuration["known"] = {{"n", 0}, {"events", Json::array()}};
+  });
+  // The first list may have arrived already. In both cases each request must be answered.
+  harness.nameServer->silent = true;
+  harness.nameServer->set(3, {});
+  TestConnection viewer = harness.viewer();
   for (int i = 0; i < 3; ++i) {
-    const std::string call = rig.freshCall();
-    viewer.say(offer(call));
-    const auto end = viewer.hear(1'000);
+    const std::string call = harness.newCallId();
+    viewer.send(makeOffer(call));
+    const auto end = viewer.receive(1'000);
     if (!end) continue;
     CHECK(end->op == Op::end);
-    CHECK(end->why == 34);
+    CHECK(end->reasonCode == 34);
     CHECK(end->find("wait") != nullptr);
   }
-  rig.names->set(4, rig.rows());
-  rig.names->mute = false;
+  harness.nameServer->set(4, harness.nodeRows());
+  harness.nameServer->silent = false;
   std::optional<Message> passed;
-  for (int i = 0; i < 100 && !(passed && passed->why == 1); ++i) {
-    viewer.say(word(Op::test, "0000000000000001"));
-    passed = viewer.hear();
+  for (int i = 0; i < 100 && !(passed && passed->reasonCode == 1); ++i) {
+    viewer.send(makeMessage(Op::test, "0000000000000001"));
+    passed = viewer.receive();
     std::this_thread::sleep_for(std::chrono::milliseconds(20));
   }
   REQUIRE(passed);
-  CHECK(passed->why == 1);
+  CHECK(passed->reasonCode == 1);
 }
 
-// Two customers: other classes, deadlines, effects and tenants, in one program.
+// Run with two configurations that differ in room types, effects, tenants and cancelling.
 TEST_CASE(
-    "A request split at any byte is its own: class, tenant, limit and title, whatever comes beside it") {
+    "A request split at any byte keeps its own class, tenant, timeout and title, unmixed with other "
+    "messages") {
   const bool second = GENERATE(false, true);
-  Rig rig(1, 1024, [&](Json& all) {
+  TestHarness harness(1, 1024, [&](Json& configuration) {
     if (!second) return;
-    Json& settings = all["settings"];
+    Json& settings = configuration["settings"];
     settings["classes"][0]["name"] = "lesson";
     settings["classes"][0]["effect"] = "once";
     settings["classes"][1]["name"] = "exam";
@@ -464,36 +479,37 @@
                            {{"name", "south"}, {"quotaPerS", 500.0}}};
   });
   const std::string rooms[] = {second ? "lesson" : "clip", second ? "exam" : "paid"};
-  Talk viewer = proven(rig), neighbour = proven(rig);
-  std::optional<Talk> node;
-  const std::size_t size = jsonl::bytesOf(offer(rig.freshCall(), rooms[0])).size();
+  TestConnection viewer = verifiedViewer(harness), neighbour = verifiedViewer(harness);
+  std::optional<TestConnection> node;
+  const std::size_t size = jsonl::serialize(makeOffer(harness.newCallId(), rooms[0])).size();
   for (std::size_t cut = 1; cut < size; cut += 3) {
-    const std::string call = rig.freshCall();
-    Message mine = offer(call, rooms[cut % 2], 800 + static_cast<int>(cut));
-    mine.with["key"] = "title-" + std::to_string(cut);
-    if (second) mine.with["tenant"] = cut % 3 == 0 ? "north" : "south";
-    const std::string bytes = jsonl::bytesOf(mine);
-    viewer.bytes(bytes.substr(0, cut));
-    settle(neighbour);  // the first part has been read alone, and another's message in between
-    viewer.bytes(bytes.substr(cut));
+    const std::string call = harness.newCallId();
+    Message mine = makeOffer(call, rooms[cut % 2], 800 + static_cast<int>(cut));
+    mine.fields["key"] = "title-" + std::to_string(cut);
+    if (second) mine.fields["tenant"] = cut % 3 == 0 ? "north" : "south";
+    const std::string bytes = jsonl::serialize(mine);
+    viewer.sendBytes(bytes.substr(0, cut));
+    awaitProcessed(
+        neighbour);  // the first part has been read alone, followed by a message of another connection
+    viewer.sendBytes(bytes.substr(cut));
     std::optional<Message> got;
     if (!node) {
-      Arrived at = arrive(rig, call);
-      node.emplace(std::move(at.talk));
-      got = at.offer;
+      ReceivedOffer received = awaitOffer(harness, call);
+      node.emplace(std::move(received.connection));
+      got = received.offer;
     } else {
-      got = node->hear();
+      got = node->receive();
     }
     REQUIRE(got);
     REQUIRE(got->call == call);
     CHECK(*got->find("class") == rooms[cut % 2]);
     CHECK(*got->find("key") == *mine.find("key"));
-    CHECK(*got->desc == *mine.desc);
+    CHECK(*got->description == *mine.description);
     CHECK(std::stoi(*got->find("left")) <= std::stoi(*mine.find("left")));
-    node->say(accepted(call));
-    viewer.need(Op::accept, call);
-    viewer.say(word(Op::end, call, 16));
-    viewer.need(Op::ended, call);
-    node->need(Op::end, call);
+    node->send(makeAccept(call));
+    viewer.expect(Op::accept, call);
+    viewer.send(makeMessage(Op::end, call, 16));
+    viewer.expect(Op::ended, call);
+    node->expect(Op::end, call);
   }
 }
--- a/tests/jsonl_test.cpp
+++ b/tests/jsonl_test.cpp
@@ -1,4 +1,5 @@
-// The platform's messages: what is read, what is refused, and that what is refused costs its line alone.
+// Tests the JSON lines protocol: which messages are accepted, which are rejected, and that no input has any
+// other outcome.
 #include <catch2/catch.hpp>
 #include <random>
 
@@ -6,7 +7,7 @@
 
 using namespace lupinsill::jsonl;
 
-TEST_CASE("A set-up is read whole, and written anew it says the same") {
+TEST_CASE("An offer is parsed completely and serialized without a change") {
   Reader reader;
   reader.feed(R"({"op":"offer","call":"9b1f03aa5c7e2d41","with":{"class":"paid","left":"1500","n":3},)");
   CHECK(!reader.next());
@@ -18,18 +19,18 @@
   CHECK(offer->op == Op::offer);
   CHECK(*offer->find("left") == "1500");
   CHECK(*offer->find("n") == "3");
-  CHECK(*offer->desc == "9d\r\nc=IN\r\n");
+  CHECK(*offer->description == "9d\r\nc=IN\r\n");
   const auto end = reader.next();
   REQUIRE(end);
-  CHECK((end->op == Op::end && end->why == 34));
+  CHECK((end->op == Op::end && end->reasonCode == 34));
   CHECK(!reader.next());
-  const std::string bytes = bytesOf(*offer);
+  const std::string bytes = serialize(*offer);
   const Message again = parse(std::string_view(bytes).substr(0, bytes.size() - 1));
-  CHECK(bytesOf(again) == bytes);
-  CHECK(*again.desc == *offer->desc);
+  CHECK(serialize(again) == bytes);
+  CHECK(*again.description == *offer->description);
 }
 
-TEST_CASE("What is no message is refused") {
+TEST_CASE("Invalid messages are rejected") {
   for (const char* line :
        {"", "{", "[]", "nonsense", "{}", R"({"op":"end"})", R"({"op":1,"call":"9b1f03aa5c7e2d41"})",
         R"({"op":"end","call":"9b1f"})", R"({"op":"end","call":"9b1f03aa5c7e2dzz"})",
@@ -41,52 +42,52 @@
         R"({"op":"end","call":"9b1f03aa5c7e2d41","desc":7})",
         "{\"op\":\"end\",\"call\":\"9b1f03aa5c7e2d41\",\"desc\":\"\xff\xfe\"}"}) {
     INFO(line);
-    CHECK_THROWS_AS(parse(line), BadLine);
+    CHECK_THROWS_AS(parse(line), ParseError);
   }
 }
 
-TEST_CASE("A message that never ends is refused once it is longer than one may be") {
+TEST_CASE("A message over the maximum length is rejected before its end") {
   Reader reader;
-  reader.feed(std::string(longest - 1, 'x'));
+  reader.feed(std::string(maxMessageBytes - 1, 'x'));
   CHECK(!reader.next());
   reader.feed("x");
-  CHECK_THROWS_AS(reader.next(), BadLine);
+  CHECK_THROWS_AS(reader.next(), ParseError);
   Reader whole;
-  whole.feed(std::string(longest, ' ') + "\n");
-  CHECK_THROWS_AS(whole.next(), BadLine);
+  whole.feed(std::string(maxMessageBytes, ' ') + "\n");
+  CHECK_THROWS_AS(whole.next(), ParseError);
 }
 
-TEST_CASE("Spoilt bytes are read or refused, never anything else") {
-  std::minstd_rand chance(7);
-  const std::string good =
+TEST_CASE("Corrupted bytes are parsed or rejected, without crash or other exception") {
+  std::minstd_rand random(7);
+  const std::string valid =
       R"({"op":"accept","call":"9b1f03aa5c7e2d41","with":{"load":"cpu:0.3;x1:0.5"},"desc":"a\r\n"})"
       "\n";
   std::size_t refused = 0;
   for (int i = 0; i < 20'000; ++i) {
-    std::string bytes = good;
-    for (unsigned n = chance() % 4 + 1; n > 0; --n)
-      bytes[chance() % bytes.size()] = static_cast<char>(chance());
+    std::string bytes = valid;
+    for (unsigned n = random() % 4 + 1; n > 0; --n)
+      bytes[random() % bytes.size()] = static_cast<char>(random());
     Reader reader;
     reader.feed(bytes);
     try {
       while (reader.next()) continue;
-    } catch (const BadLine&) {
+    } catch (const ParseError&) {
       ++refused;
     }
   }
   CHECK(refused > 10'000);
 }
 
-TEST_CASE("Numbers are whole texts within their bounds") {
-  CHECK(*realOf("8200.0", 0, 1e9) == 8200);
+TEST_CASE("Numbers must span the whole text and lie within their bounds") {
+  CHECK(*parseNumber("8200.0", 0, 1e9) == 8200);
   for (const char* text : {"", "x", "1x", "nan", "inf", "1e400", "-1", "2e9", " 1"})
-    CHECK(!realOf(text, 0, 1e9));
-  CHECK(*wholeOf("4", 0, 9) == 4);
-  CHECK(!wholeOf("4.5", 0, 9));
-  CHECK(!wholeOf("10", 0, 9));
-  const auto pairs = pairsOf("home:4;copies:3;at:s-1");
+    CHECK(!parseNumber(text, 0, 1e9));
+  CHECK(*parseInteger("4", 0, 9) == 4);
+  CHECK(!parseInteger("4.5", 0, 9));
+  CHECK(!parseInteger("10", 0, 9));
+  const auto pairs = parsePairs("home:4;copies:3;at:s-1");
   CHECK((pairs.at("home") == "4" && pairs.at("at") == "s-1"));
-  CHECK(pairsOf("").empty());
-  CHECK_THROWS_AS(pairsOf("home"), BadLine);
-  CHECK_THROWS_AS(pairsOf(":4"), BadLine);
+  CHECK(parsePairs("").empty());
+  CHECK_THROWS_AS(parsePairs("home"), ParseError);
+  CHECK_THROWS_AS(parsePairs(":4"), ParseError);
 }
--- a/tests/platform_rig.h
+++ b/tests/platform_rig.h
@@ -1,5 +1,5 @@
-// `lupinsill run` as a process on loopback, for tests: viewers, media nodes and a name server written by
-// hand.
+// A test harness that runs `lupinsill run` as a process on loopback, with test connections as viewers, stub
+// media nodes and a stub name server.
 #pragma once
 
 #include <arpa/inet.h>
@@ -34,10 +34,10 @@
 using Clock = std::chrono::steady_clock;
 
 inline int portOf(int fd) {
-  sockaddr_in at{};
-  socklen_t size = sizeof at;
-  getsockname(fd, reinterpret_cast<sockaddr*>(&at), &size);
-  return ntohs(at.sin_port);
+  sockaddr_in address{};
+  socklen_t size = sizeof address;
+  getsockname(fd, reinterpret_cast<sockaddr*>(&address), &size);
+  return ntohs(address.sin_port);
 }
 inline sockaddr_in loopback(int port) {
   sockaddr_in to{};
@@ -47,60 +47,61 @@
   return to;
 }
 
-// One end of a connection that speaks lines; what it waits for comes within five seconds or not at all.
-struct Talk {
+// The test's end of a connection with JSON lines. Expected messages must arrive within five seconds.
+struct TestConnection {
   int fd = -1;
   jsonl::Reader reader;
-  explicit Talk(int socket) : fd(socket) {}
-  Talk(Talk&& other) noexcept : fd(std::exchange(other.fd, -1)), reader(std::move(other.reader)) {}
-  Talk& operator=(Talk&& other) noexcept {
-    drop();
+  explicit TestConnection(int socket) : fd(socket) {}
+  TestConnection(TestConnection&& other) noexcept
+      : fd(std::exchange(other.fd, -1)), reader(std::move(other.reader)) {}
+  TestConnection& operator=(TestConnection&& other) noexcept {
+    close();
     fd = std::exchange(other.fd, -1);
     reader = std::move(other.reader);
     return *this;
   }
-  ~Talk() { drop(); }
-  static Talk to(int port) {
+  ~TestConnection() { close(); }
+  static TestConnection to(int port) {
     const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-    const sockaddr_in at = loopback(port);
-    REQUIRE(connect(fd, reinterpret_cast<const sockaddr*>(&at), sizeof at) == 0);
-    return Talk(fd);
+    const sockaddr_in address = loopback(port);
+    REQUIRE(connect(fd, reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0);
+    return TestConnection(fd);
   }
-  void drop() {
-    if (fd >= 0) close(fd);
+  void close() {
+    if (fd >= 0) ::close(fd);
     fd = -1;
   }
   void reset() {
-    const linger hard{1, 0};
-    setsockopt(fd, SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
-    drop();
+    const linger resetOnClose{1, 0};
+    setsockopt(fd, SOL_SOCKET, SO_LINGER, &resetOnClose, sizeof resetOnClose);
+    close();
   }
-  void bytes(const std::string& text) const {
-    REQUIRE(send(fd, text.data(), text.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(text.size()));
+  void sendBytes(const std::string& text) const {
+    REQUIRE(::send(fd, text.data(), text.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(text.size()));
   }
-  void say(const Message& message) const { bytes(jsonl::bytesOf(message)); }
-  std::optional<Message> hear(int ms = 5'000) {
-    const auto until = Clock::now() + std::chrono::milliseconds(ms);
+  void send(const Message& message) const { sendBytes(jsonl::serialize(message)); }
+  std::optional<Message> receive(int milliseconds = 5'000) {
+    const auto until = Clock::now() + std::chrono::milliseconds(milliseconds);
     while (true) {
       if (auto message = reader.next()) return message;
       const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(until - Clock::now()).count();
       pollfd p{fd, POLLIN, 0};
       if (left <= 0 || poll(&p, 1, static_cast<int>(left)) <= 0) return std::nullopt;
       char buffer[4096];
-      const ssize_t n = recv(fd, buffer, sizeof buffer, 0);
+      const ssize_t n = ::recv(fd, buffer, sizeof buffer, 0);
       if (n <= 0) return std::nullopt;
       reader.feed({buffer, static_cast<std::size_t>(n)});
     }
   }
-  Message need(Op op, const std::string& call) {
-    const auto message = hear();
+  Message expect(Op op, const std::string& call) {
+    const auto message = receive();
     REQUIRE(message);
     CHECK(message->op == op);
     CHECK(message->call == call);
     return *message;
   }
-  bool closes(int ms = 6'000) {
-    const auto until = Clock::now() + std::chrono::milliseconds(ms);
+  bool isClosedWithin(int milliseconds = 6'000) {
+    const auto until = Clock::now() + std::chrono::milliseconds(milliseconds);
     while (Clock::now() < until) {
       pollfd p{fd, POLLIN, 0};
       if (poll(&p, 1, 50) <= 0) continue;
@@ -111,55 +112,56 @@
   }
 };
 
-struct Listening {
+// A media node of which the test accepts the connections.
+struct StubNode {
   int fd;
-  explicit Listening(int port = 0, int backlog = 64) : fd(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
+  explicit StubNode(int port = 0, int backlog = 64) : fd(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
     const int on = 1;
     setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-    const sockaddr_in at = loopback(port);
-    REQUIRE(bind(fd, reinterpret_cast<const sockaddr*>(&at), sizeof at) == 0);
+    const sockaddr_in address = loopback(port);
+    REQUIRE(bind(fd, reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0);
     REQUIRE(listen(fd, backlog) == 0);
   }
-  Listening(Listening&& other) noexcept : fd(std::exchange(other.fd, -1)) {}
-  Listening& operator=(Listening&&) = delete;
-  ~Listening() { shut(); }
-  void shut() {
-    if (fd >= 0) close(fd);
+  StubNode(StubNode&& other) noexcept : fd(std::exchange(other.fd, -1)) {}
+  StubNode& operator=(StubNode&&) = delete;
+  ~StubNode() { stopListening(); }
+  void stopListening() {
+    if (fd >= 0) ::close(fd);
     fd = -1;
   }
   int port() const { return portOf(fd); }
-  std::optional<Talk> tryAccept(int ms) const {
+  std::optional<TestConnection> tryAccept(int milliseconds) const {
     pollfd p{fd, POLLIN, 0};
-    if (poll(&p, 1, ms) <= 0) return std::nullopt;
-    return Talk(accept(fd, nullptr, nullptr));
+    if (poll(&p, 1, milliseconds) <= 0) return std::nullopt;
+    return TestConnection(::accept(fd, nullptr, nullptr));
   }
-  Talk take() const {
-    auto talk = tryAccept(5'000);
-    REQUIRE(talk);
-    return std::move(*talk);
+  TestConnection accept() const {
+    auto connection = tryAccept(5'000);
+    REQUIRE(connection);
+    return std::move(*connection);
   }
 };
 
-// Answers every question with the list as it is now.
-struct NameServer {
+// Answers every query with the current list, in a thread of its own; ignores queries while `silent`.
+struct StubNameServer {
   int fd;
   std::mutex mutex;
   std::uint32_t serial = 1;
   std::vector<NodeRow> rows;
-  std::atomic<int> asked{0};
+  std::atomic<int> queryCount{0};
   std::atomic<bool> stop{false};
-  std::atomic<bool> mute{false};
+  std::atomic<bool> silent{false};
   std::thread thread;
-  explicit NameServer(std::vector<NodeRow> list)
+  explicit StubNameServer(std::vector<NodeRow> list)
       : fd(socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0)), rows(std::move(list)) {
-    const sockaddr_in at = loopback(0);
-    REQUIRE(bind(fd, reinterpret_cast<const sockaddr*>(&at), sizeof at) == 0);
+    const sockaddr_in address = loopback(0);
+    REQUIRE(bind(fd, reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0);
     thread = std::thread([this] { loop(); });
   }
-  ~NameServer() {
+  ~StubNameServer() {
     stop = true;
     thread.join();
-    close(fd);
+    ::close(fd);
   }
   void set(std::uint32_t number, std::vector<NodeRow> list) {
     const std::lock_guard lock(mutex);
@@ -174,8 +176,8 @@
       sockaddr_in from{};
       socklen_t size = sizeof from;
       if (recvfrom(fd, buffer, sizeof buffer, 0, reinterpret_cast<sockaddr*>(&from), &size) < 12) continue;
-      ++asked;
-      if (mute) continue;
+      ++queryCount;
+      if (silent) continue;
       const std::lock_guard lock(mutex);
       const auto number = static_cast<std::uint16_t>(buffer[0] << 8 | buffer[1]);
       const std::string answer = DnsWriter::answer(number, serial, rows);
@@ -184,34 +186,36 @@
   }
 };
 
-struct Rig {
-  std::vector<Listening> nodes;
-  std::unique_ptr<NameServer> names;
+// Starts the process with its configuration file and ends it. `socketLimit`: descriptors that the process may
+// use.
+struct TestHarness {
+  std::vector<StubNode> nodes;
+  std::unique_ptr<StubNameServer> nameServer;
   std::string file;
   pid_t process = -1;
   int port = 0;
   int log = -1;
   int status = -1;
-  int sockets = 1024;
-  int next = 0;
+  int maxSockets = 1024;
+  int lastCallId = 0;
 
-  std::function<void(nlohmann::json&)> change;  // of the configuration, before it is written
+  std::function<void(nlohmann::json&)> editConfiguration;  // applied before the configuration is written
 
-  explicit Rig(std::size_t count = 2, int descriptors = 1024,
-               std::function<void(nlohmann::json&)> changed = nullptr)
-      : sockets(descriptors), change(std::move(changed)) {
-    for (std::size_t i = 0; i < count; ++i) nodes.emplace_back();
-    names = std::make_unique<NameServer>(rows());
+  explicit TestHarness(std::size_t nodeCount = 2, int socketLimit = 1024,
+                       std::function<void(nlohmann::json&)> edit = nullptr)
+      : maxSockets(socketLimit), editConfiguration(std::move(edit)) {
+    for (std::size_t i = 0; i < nodeCount; ++i) nodes.emplace_back();
+    nameServer = std::make_unique<StubNameServer>(nodeRows());
     file = (std::filesystem::temp_directory_path() / ("lupinsill-run-" + std::to_string(getpid()) + ".json"));
-    write();
+    writeConfiguration();
     start();
   }
-  ~Rig() {
+  ~TestHarness() {
     if (process > 0) kill(process, SIGKILL), waitpid(process, nullptr, 0);
-    if (log >= 0) close(log);
+    if (log >= 0) ::close(log);
     std::filesystem::remove(file);
   }
-  std::vector<NodeRow> rows() const {
+  std::vector<NodeRow> nodeRows() const {
     std::vector<NodeRow> list;
     for (std::size_t i = 0; i < nodes.size(); ++i) {
       NodeRow row;
@@ -222,10 +226,10 @@
     }
     return list;
   }
-  void write() const {
+  void writeConfiguration() const {
     using Json = nlohmann::json;
     Json endpoints = Json::array();
-    for (const NodeRow& row : rows())
+    for (const NodeRow& row : nodeRows())
       endpoints.push_back({{"name", row.name},
                            {"address", "127.0.0.1:" + std::to_string(row.port)},
                            {"zone", "east"},
@@ -274,36 +278,37 @@
                        {"startCapacity", 0.5},
                        {"stopSendingWithinNs", 4e9}}},
                      {"stats", {{"fields", {"cpu", "x1"}}}}};
-    Json all = {{"name", "n0"},
-                {"listen", "127.0.0.1:0"},
-                {"seed", "8c1f30d27a5be964"},
-                {"limits", {{"cores", 1.0}, {"memory_mb", 64}, {"sockets", sockets}}},
-                {"resolver", "127.0.0.1:" + std::to_string(portOf(names->fd))},
-                {"known",
-                 {{"n", 1},
-                  {"events",
-                   {{{"n", 1}, {"members", {{"index", 1}, {"snapshot", true}, {"endpoints", endpoints}}}}}}}},
-                {"settings", settings}};
-    if (change) change(all);
-    std::ofstream(file) << all.dump();
+    Json configuration = {
+        {"name", "n0"},
+        {"listen", "127.0.0.1:0"},
+        {"seed", "8c1f30d27a5be964"},
+        {"limits", {{"cores", 1.0}, {"memory_mb", 64}, {"sockets", maxSockets}}},
+        {"resolver", "127.0.0.1:" + std::to_string(portOf(nameServer->fd))},
+        {"known",
+         {{"n", 1},
+          {"events",
+           {{{"n", 1}, {"members", {{"index", 1}, {"snapshot", true}, {"endpoints", endpoints}}}}}}}},
+        {"settings", settings}};
+    if (editConfiguration) editConfiguration(configuration);
+    std::ofstream(file) << configuration.dump();
   }
   void start() {
-    int ends[2];
-    REQUIRE(pipe(ends) == 0);
+    int pipeEnds[2];
+    REQUIRE(pipe(pipeEnds) == 0);
     process = fork();
     if (process == 0) {
       prctl(PR_SET_PDEATHSIG, SIGKILL);
-      dup2(ends[1], 2);
-      close(ends[0]);
-      close(ends[1]);
-      // Another build may be put to the same tests: that of before a mend has to fail them.
-      const char* other = std::getenv("LUPINSILL_OTHER");
-      execl(other != nullptr ? other : PROGRAM, "lupinsill", "run", "--config", file.c_str(),
+      dup2(pipeEnds[1], 2);
+      ::close(pipeEnds[0]);
+      ::close(pipeEnds[1]);
+      // Runs the tests against another build, to check that they fail without a fix.
+      const char* otherProgram = std::getenv("LUPINSILL_OTHER");
+      execl(otherProgram != nullptr ? otherProgram : PROGRAM, "lupinsill", "run", "--config", file.c_str(),
             static_cast<char*>(nullptr));
       _exit(127);
     }
-    close(ends[1]);
-    log = ends[0];
+    ::close(pipeEnds[1]);
+    log = pipeEnds[0];
     std::string text;
     char buffer[1024];
     while (text.find("nodes=") == std::string::npos) {
@@ -314,15 +319,15 @@
     port = std::atoi(text.c_str() + text.find("port=") + 5);
     REQUIRE(port > 0);
   }
-  Talk viewer() const { return Talk::to(port); }
-  std::string freshCall() {
+  TestConnection viewer() const { return TestConnection::to(port); }
+  std::string newCallId() {
     char text[17];
-    std::snprintf(text, sizeof text, "%016x", ++next);
+    std::snprintf(text, sizeof text, "%016x", ++lastCallId);
     return text;
   }
-  // The exit code, if it ends by itself within the time.
-  std::optional<int> ends(int ms) {
-    for (int waited = 0; waited < ms; waited += 20) {
+  // Returns the wait status if the process exits by itself within the time; 0 means exit code 0.
+  std::optional<int> exitCodeWithin(int milliseconds) {
+    for (int waited = 0; waited < milliseconds; waited += 20) {
       int code = 0;
       if (waitpid(process, &code, WNOHANG) == process) return process = -1, code;
       std::this_thread::sleep_for(std::chrono::milliseconds(20));
@@ -331,48 +336,51 @@
   }
 };
 
-inline Message offer(const std::string& call, const std::string& room = "clip", int left = 1900) {
+inline Message makeOffer(const std::string& call, const std::string& room = "clip", int left = 1900) {
   Message m;
   m.op = Op::offer;
   m.call = call;
-  m.with = {{"class", room},
-            {"left", std::to_string(left)},
-            {"key", "title-1"},
-            {"hint", "8200.0"},
-            {"extras", "home:0;copies:2;top:2;viewer:00000000b4d65521"}};
-  m.desc = "9d41\r\nc=IN IP4 10.4.7.9\r\n";
+  m.fields = {{"class", room},
+              {"left", std::to_string(left)},
+              {"key", "title-1"},
+              {"hint", "8200.0"},
+              {"extras", "home:0;copies:2;top:2;viewer:00000000b4d65521"}};
+  m.description = "9d41\r\nc=IN IP4 10.4.7.9\r\n";
   return m;
 }
-inline Message word(Op op, const std::string& call, int why = 0) {
+// The reason codes used in the tests: 1 health check passed, 16 finished, 34 no capacity, 41 failed,
+// 47 node error, 102 not sent.
+inline Message makeMessage(Op op, const std::string& call, int reasonCode = 0) {
   Message m;
   m.op = op;
   m.call = call;
-  m.why = why;
+  m.reasonCode = reasonCode;
   return m;
 }
-inline Message accepted(const std::string& call) {
-  Message m = word(Op::accept, call);
-  m.desc = "answer of a node\r\n";
+inline Message makeAccept(const std::string& call) {
+  Message m = makeMessage(Op::accept, call);
+  m.description = "answer of a node\r\n";
   return m;
 }
 
-// The connection on which the next set-up comes, to whichever node it goes; others may come that bring
-// nothing.
-struct Arrived {
+// An offer that a node has received, with its connection.
+struct ReceivedOffer {
   std::size_t node = 0;
-  Talk talk;
+  TestConnection connection;
   Message offer;
 };
-inline Arrived arrive(Rig& rig, const std::string& call) {
+// Waits for the offer of a call at any node; other connections may be opened meanwhile.
+inline ReceivedOffer awaitOffer(TestHarness& harness, const std::string& call) {
   const auto until = Clock::now() + std::chrono::seconds(5);
-  std::vector<std::pair<std::size_t, Talk>> talks;
+  std::vector<std::pair<std::size_t, TestConnection>> connections;
   while (Clock::now() < until) {
-    for (std::size_t i = 0; i < rig.nodes.size(); ++i)
-      if (rig.nodes[i].fd >= 0)
-        if (auto talk = rig.nodes[i].tryAccept(5)) talks.emplace_back(i, std::move(*talk));
-    for (auto& [node, talk] : talks)
-      if (const auto m = talk.hear(5); m && m->op == Op::offer && m->call == call)
-        return {node, std::move(talk), *m};
+    for (std::size_t i = 0; i < harness.nodes.size(); ++i)
+      if (harness.nodes[i].fd >= 0)
+        if (auto connection = harness.nodes[i].tryAccept(5))
+          connections.emplace_back(i, std::move(*connection));
+    for (auto& [node, connection] : connections)
+      if (const auto m = connection.receive(5); m && m->op == Op::offer && m->call == call)
+        return {node, std::move(connection), *m};
   }
   FAIL("no set-up arrived");
   throw 0;
