--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -1,356 +1,362 @@
-// `lupinsill run` as a process on loopback: what it owes viewers, media nodes and its name server.
+// Tests `lupinsill run` as a process on loopback: its behaviour towards viewers, media nodes and the name
+// server.
 #include "platform_rig.h"
 
 using namespace lupinsill;
 using namespace lupinsill::tests;
 
-TEST_CASE("A set-up reaches a node unchanged, its answer the viewer, and its release too") {
-  Rig rig;
-  Talk viewer = rig.viewer();
-  viewer.say(word(Op::test, "0000000000000001"));
-  CHECK(viewer.need(Op::tested, "0000000000000001").why == 1);
-  const std::string call = rig.freshCall();
-  viewer.say(offer(call));
-  Arrived at = arrive(rig, call);
-  CHECK(*at.offer.desc == *offer(call).desc);
-  CHECK(*at.offer.find("class") == "clip");
-  CHECK(*at.offer.find("key") == "title-1");
-  CHECK(std::stoi(*at.offer.find("left")) <= 1900);
-  at.talk.say(word(Op::ringing, call));
-  at.talk.say(accepted(call));
-  at.talk.say(accepted(call));  // a second copy is passed over
-  CHECK(*viewer.need(Op::accept, call).desc == "answer of a node\r\n");
-  at.talk.say(word(Op::end, call, 16));
-  CHECK(viewer.need(Op::end, call).why == 16);
+TEST_CASE("An offer is relayed to a node unchanged, and its answer and release to the viewer") {
+  TestHarness harness;
+  TestConnection viewer = harness.viewer();
+  viewer.send(makeMessage(Op::test, "0000000000000001"));
+  CHECK(viewer.expect(Op::tested, "0000000000000001").reasonCode == 1);
+  const std::string call = harness.newCallId();
+  viewer.send(makeOffer(call));
+  ReceivedOffer received = awaitOffer(harness, call);
+  CHECK(*received.offer.description == *makeOffer(call).description);
+  CHECK(*received.offer.find("class") == "clip");
+  CHECK(*received.offer.find("key") == "title-1");
+  CHECK(std::stoi(*received.offer.find("left")) <= 1900);
+  received.connection.send(makeMessage(Op::ringing, call));
+  received.connection.send(makeAccept(call));
+  received.connection.send(makeAccept(call));  // a duplicate is ignored
+  CHECK(*viewer.expect(Op::accept, call).description == "answer of a node\r\n");
+  received.connection.send(makeMessage(Op::end, call, 16));
+  CHECK(viewer.expect(Op::end, call).reasonCode == 16);
 }
 
-TEST_CASE("Full everywhere is a refusal with a time to come back, at once") {
-  Rig rig;
-  Talk viewer = rig.viewer();
-  const std::string call = rig.freshCall();
-  viewer.say(offer(call, "paid"));
-  Arrived first = arrive(rig, call);
-  first.talk.say(word(Op::end, call, 34));
-  Arrived second = arrive(rig, call);
+TEST_CASE("When every node is full, the viewer is throttled at once with a retry time") {
+  TestHarness harness;
+  TestConnection viewer = harness.viewer();
+  const std::string call = harness.newCallId();
+  viewer.send(makeOffer(call, "paid"));
+  ReceivedOffer first = awaitOffer(harness, call);
+  first.connection.send(makeMessage(Op::end, call, 34));
+  ReceivedOffer second = awaitOffer(harness, call);
   CHECK(second.node != first.node);
-  second.talk.say(word(Op::end, call, 34));
-  const Message end = viewer.need(Op::end, call);
-  CHECK(end.why == 34);
+  second.connection.send(makeMessage(Op::end, call, 34));
+  const Message end = viewer.expect(Op::end, call);
+  CHECK(end.reasonCode == 34);
   REQUIRE(end.find("wait") != nullptr);
   CHECK(std::stoi(*end.find("wait")) > 0);
 }
 
-TEST_CASE("An unsafe set-up that may have run is neither joined again nor refused") {
-  Rig rig;
-  Talk viewer = rig.viewer();
-  const std::string call = rig.freshCall();
-  viewer.say(offer(call, "paid", 900));
-  Arrived at = arrive(rig, call);
-  SECTION("an error") { at.talk.say(word(Op::end, call, 47)); }
-  SECTION("a reset") { at.talk.reset(); }
-  SECTION("an answer that can't be read") { at.talk.bytes("{\"op\":\"acc\x01\n"); }
-  SECTION("an answer without a description") { at.talk.say(word(Op::accept, call)); }
-  SECTION("an answer that never ends") { at.talk.bytes(std::string(20'000, 'x')); }
+TEST_CASE("An unsafe request that may have run is neither joined again nor throttled") {
+  TestHarness harness;
+  TestConnection viewer = harness.viewer();
+  const std::string call = harness.newCallId();
+  viewer.send(makeOffer(call, "paid", 900));
+  ReceivedOffer received = awaitOffer(harness, call);
+  SECTION("an error") { received.connection.send(makeMessage(Op::end, call, 47)); }
+  SECTION("a reset") { received.connection.reset(); }
+  SECTION("an answer that cannot be parsed") { received.connection.sendBytes("{\"op\":\"acc\x01\n"); }
+  SECTION("an answer without a description") { received.connection.send(makeMessage(Op::accept, call)); }
+  SECTION("an answer over the maximum length") { received.connection.sendBytes(std::string(20'000, 'x')); }
   SECTION("no answer") {}
-  const Message end = viewer.need(Op::end, call);
-  CHECK(end.why != 34);
-  CHECK(end.why != 42);
-  CHECK(end.why != 102);
-  for (const Listening& node : rig.nodes)
+  const Message end = viewer.expect(Op::end, call);
+  CHECK(end.reasonCode != 34);
+  CHECK(end.reasonCode != 42);
+  CHECK(end.reasonCode != 102);
+  for (const StubNode& node : harness.nodes)
     if (auto again = node.tryAccept(300))
-      while (const auto message = again->hear(200)) CHECK(message->op == Op::end);
+      while (const auto message = again->receive(200)) CHECK(message->op == Op::end);
 }
 
-TEST_CASE("A safe set-up goes on after a reset, and what may stand at the first node is released") {
-  Rig rig;
-  Talk viewer = rig.viewer();
-  const std::string call = rig.freshCall();
-  viewer.say(offer(call));
-  Arrived first = arrive(rig, call);
-  first.talk.reset();
+TEST_CASE("A safe request is joined elsewhere after a reset, and the first node is sent a release") {
+  TestHarness harness;
+  TestConnection viewer = harness.viewer();
+  const std::string call = harness.newCallId();
+  viewer.send(makeOffer(call));
+  ReceivedOffer first = awaitOffer(harness, call);
+  first.connection.reset();
   bool released = false, answered = false;
   const auto until = Clock::now() + std::chrono::seconds(3);
-  std::vector<std::pair<std::size_t, Talk>> talks;
+  std::vector<std::pair<std::size_t, TestConnection>> connections;
   while (Clock::now() < until && !(released && answered)) {
-    for (std::size_t i = 0; i < rig.nodes.size(); ++i)
-      if (auto talk = rig.nodes[i].tryAccept(10)) talks.emplace_back(i, std::move(*talk));
-    for (auto& [node, talk] : talks)
-      if (const auto message = talk.hear(10)) {
+    for (std::size_t i = 0; i < harness.nodes.size(); ++i)
+      if (auto connection = harness.nodes[i].tryAccept(10))
+        connections.emplace_back(i, std::move(*connection));
+    for (auto& [node, connection] : connections)
+      if (const auto message = connection.receive(10)) {
         if (message->op == Op::end && node == first.node) released = true;
         if (message->op == Op::offer) {
           CHECK(node != first.node);
-          talk.say(accepted(call));
+          connection.send(makeAccept(call));
           answered = true;
         }
       }
   }
   CHECK(released);
   CHECK(answered);
-  viewer.need(Op::accept, call);
+  viewer.expect(Op::accept, call);
 }
 
-TEST_CASE("A viewer that gives up takes its join back, and one that leaves ends what stands") {
-  Rig rig;
-  Talk viewer = rig.viewer();
-  const std::string first = rig.freshCall();
-  viewer.say(offer(first));
-  Arrived at = arrive(rig, first);
-  viewer.say(word(Op::end, first, 16));
-  CHECK(at.talk.need(Op::end, first).why == 16);
+TEST_CASE("A viewer that gives up cancels its join, and one that leaves ends its subscription") {
+  TestHarness harness;
+  TestConnection viewer = harness.viewer();
+  const std::string first = harness.newCallId();
+  viewer.send(makeOffer(first));
+  ReceivedOffer received = awaitOffer(harness, first);
+  viewer.send(makeMessage(Op::end, first, 16));
+  CHECK(received.connection.expect(Op::end, first).reasonCode == 16);
 
-  const std::string second = rig.freshCall();
-  viewer.say(offer(second));
-  Arrived next = arrive(rig, second);
-  next.talk.say(accepted(second));
-  viewer.need(Op::accept, second);
-  Talk other = rig.viewer();  // what stands belongs to no connection
-  other.say(word(Op::end, second, 16));
-  other.need(Op::ended, second);
-  next.talk.need(Op::end, second);
+  const std::string second = harness.newCallId();
+  viewer.send(makeOffer(second));
+  ReceivedOffer next = awaitOffer(harness, second);
+  next.connection.send(makeAccept(second));
+  viewer.expect(Op::accept, second);
+  TestConnection other = harness.viewer();  // an established subscription belongs to no connection
+  other.send(makeMessage(Op::end, second, 16));
+  other.expect(Op::ended, second);
+  next.connection.expect(Op::end, second);
 }
 
 TEST_CASE(
-    "Nothing plays for a viewer whose connection broke before the answer; floods are told when to return") {
-  Rig rig(1);
-  std::optional<Talk> viewer(rig.viewer());
-  const std::string call = rig.freshCall();
-  viewer->say(offer(call));
-  Arrived at = arrive(rig, call);
+    "No subscription plays on after its viewer's connection broke before the answer, and requests over the "
+    "flow "
+    "limit get spread retry times") {
+  TestHarness harness(1);
+  std::optional<TestConnection> viewer(harness.viewer());
+  const std::string call = harness.newCallId();
+  viewer->send(makeOffer(call));
+  ReceivedOffer received = awaitOffer(harness, call);
   viewer->reset();
-  at.talk.say(accepted(call));
-  at.talk.need(Op::end, call);
+  received.connection.send(makeAccept(call));
+  received.connection.expect(Op::end, call);
 
-  Talk flood = rig.viewer();
-  for (int i = 0; i < 60; ++i) flood.say(offer(rig.freshCall()));
+  TestConnection flood = harness.viewer();
+  for (int i = 0; i < 60; ++i) flood.send(makeOffer(harness.newCallId()));
   std::set<std::string> waits;
   for (int i = 0; i < 60 && waits.size() < 3; ++i)
-    if (const auto end = flood.hear(2'000); end && end->op == Op::end && end->find("wait") != nullptr)
+    if (const auto end = flood.receive(2'000); end && end->op == Op::end && end->find("wait") != nullptr)
       waits.insert(*end->find("wait"));
-  CHECK(waits.size() >= 3);  // not all at one time
+  CHECK(waits.size() >= 3);  // the retry times are spread
 }
 
-TEST_CASE("The end of what stands finds the viewer though its connection has gone") {
-  Rig rig;
-  const std::string call = rig.freshCall();
-  std::optional<Talk> viewer(rig.viewer());
-  viewer->say(offer(call));
-  Arrived at = arrive(rig, call);
-  at.talk.say(accepted(call));
-  viewer->need(Op::accept, call);
+TEST_CASE("The end of a subscription reaches its viewer on another connection") {
+  TestHarness harness;
+  const std::string call = harness.newCallId();
+  std::optional<TestConnection> viewer(harness.viewer());
+  viewer->send(makeOffer(call));
+  ReceivedOffer received = awaitOffer(harness, call);
+  received.connection.send(makeAccept(call));
+  viewer->expect(Op::accept, call);
   viewer.reset();
-  Talk other = rig.viewer();
-  other.say(word(Op::test, "0000000000000001"));
-  other.need(Op::tested, "0000000000000001");
-  at.talk.say(word(Op::end, call, 41));
-  CHECK(other.need(Op::end, call).why == 41);
+  TestConnection other = harness.viewer();
+  other.send(makeMessage(Op::test, "0000000000000001"));
+  other.expect(Op::tested, "0000000000000001");
+  received.connection.send(makeMessage(Op::end, call, 41));
+  CHECK(other.expect(Op::end, call).reasonCode == 41);
 }
 
-TEST_CASE("What stands at a process that died is told over to its viewer") {
-  Rig rig(1);
-  Talk viewer = rig.viewer();
-  const std::string call = rig.freshCall();
-  viewer.say(offer(call));
-  Arrived at = arrive(rig, call);
-  at.talk.say(accepted(call));
-  viewer.need(Op::accept, call);
-  rig.nodes[0].shut();
-  at.talk.reset();
-  CHECK(viewer.need(Op::end, call).why == 41);
+TEST_CASE("When a node process dies, its viewers are told that their subscriptions ended") {
+  TestHarness harness(1);
+  TestConnection viewer = harness.viewer();
+  const std::string call = harness.newCallId();
+  viewer.send(makeOffer(call));
+  ReceivedOffer received = awaitOffer(harness, call);
+  received.connection.send(makeAccept(call));
+  viewer.expect(Op::accept, call);
+  harness.nodes[0].stopListening();
+  received.connection.reset();
+  CHECK(viewer.expect(Op::end, call).reasonCode == 41);
 }
 
-TEST_CASE("A node that lost a connection hears of a new one, and can tell on it what has ended") {
-  Rig rig(1);
-  Talk viewer = rig.viewer();
-  const std::string call = rig.freshCall();
-  viewer.say(offer(call));
-  Arrived at = arrive(rig, call);
-  at.talk.say(accepted(call));
-  viewer.need(Op::accept, call);
-  at.talk.reset();
-  Talk again = rig.nodes[0].take();
-  again.say(word(Op::end, call, 16));
-  CHECK(viewer.need(Op::end, call).why == 16);
+TEST_CASE("After a connection is lost, a new one is opened on which the node can report an end") {
+  TestHarness harness(1);
+  TestConnection viewer = harness.viewer();
+  const std::string call = harness.newCallId();
+  viewer.send(makeOffer(call));
+  ReceivedOffer received = awaitOffer(harness, call);
+  received.connection.send(makeAccept(call));
+  viewer.expect(Op::accept, call);
+  received.connection.reset();
+  TestConnection again = harness.nodes[0].accept();
+  again.send(makeMessage(Op::end, call, 16));
+  CHECK(viewer.expect(Op::end, call).reasonCode == 16);
 }
 
-TEST_CASE("What plays at a start is adopted without an answer, at any time left, and its end is told") {
-  Rig rig(1);
-  Talk viewer = rig.viewer();
-  const std::string call = rig.freshCall();
-  Message m = offer(call);
-  m.with["left"] = "4294967";
-  m.with["extras"] += ";at:s-0";
-  viewer.say(m);
-  viewer.say(m);                    // named twice
-  Talk node = rig.nodes[0].take();  // a connection is kept for its release
-  node.say(word(Op::end, call, 16));
-  CHECK(viewer.need(Op::end, call).why == 16);
+TEST_CASE(
+    "A running subscription is adopted at start without an answer, whatever its time left, and its end is "
+    "reported") {
+  TestHarness harness(1);
+  TestConnection viewer = harness.viewer();
+  const std::string call = harness.newCallId();
+  Message m = makeOffer(call);
+  m.fields["left"] = "4294967";
+  m.fields["extras"] += ";at:s-0";
+  viewer.send(m);
+  viewer.send(m);                                   // reported twice
+  TestConnection node = harness.nodes[0].accept();  // one connection is kept for its release
+  node.send(makeMessage(Op::end, call, 16));
+  CHECK(viewer.expect(Op::end, call).reasonCode == 16);
 
-  const std::string lost = rig.freshCall();
-  m.call = lost;
-  m.with["extras"] = "home:0;copies:1;top:2;at:s-99";
-  viewer.say(m);  // at a node that nobody knows any more
-  CHECK(viewer.need(Op::end, lost).why == 41);
+  const std::string callAtLostNode = harness.newCallId();
+  m.call = callAtLostNode;
+  m.fields["extras"] = "home:0;copies:1;top:2;at:s-99";
+  viewer.send(m);  // at a node that is not listed any more
+  CHECK(viewer.expect(Op::end, callAtLostNode).reasonCode == 41);
 }
 
-TEST_CASE("A new node at an old address is another node: what stood there is over") {
-  Rig rig(1);
-  Talk viewer = rig.viewer();
-  const std::string call = rig.freshCall();
-  viewer.say(offer(call));
-  Arrived at = arrive(rig, call);
-  at.talk.say(accepted(call));
-  viewer.need(Op::accept, call);
-  auto rows = rig.rows();
+TEST_CASE("A new node at a known address does not inherit the subscriptions of the old one") {
+  TestHarness harness(1);
+  TestConnection viewer = harness.viewer();
+  const std::string call = harness.newCallId();
+  viewer.send(makeOffer(call));
+  ReceivedOffer received = awaitOffer(harness, call);
+  received.connection.send(makeAccept(call));
+  viewer.expect(Op::accept, call);
+  auto rows = harness.nodeRows();
   rows[0].name = "s-new";
-  rig.names->set(2, rows);
-  CHECK(viewer.need(Op::end, call).why == 41);
-  const std::string next = rig.freshCall();
-  viewer.say(offer(next));
-  arrive(rig, next).talk.say(accepted(next));
-  viewer.need(Op::accept, next);
+  harness.nameServer->set(2, rows);
+  CHECK(viewer.expect(Op::end, call).reasonCode == 41);
+  const std::string next = harness.newCallId();
+  viewer.send(makeOffer(next));
+  awaitOffer(harness, next).connection.send(makeAccept(next));
+  viewer.expect(Op::accept, next);
 }
 
-TEST_CASE("A list that lost all its entries changes nothing while the next one has them again") {
-  Rig rig(1);
-  Talk viewer = rig.viewer();
-  viewer.say(word(Op::test, "0000000000000001"));
-  viewer.need(Op::tested, "0000000000000001");
-  rig.names->set(2, {});
-  const int before = rig.names->asked;
-  for (int i = 0; i < 250 && rig.names->asked < before + 2; ++i)
+TEST_CASE("A single empty list does not remove the nodes") {
+  TestHarness harness(1);
+  TestConnection viewer = harness.viewer();
+  viewer.send(makeMessage(Op::test, "0000000000000001"));
+  viewer.expect(Op::tested, "0000000000000001");
+  harness.nameServer->set(2, {});
+  const int before = harness.nameServer->queryCount;
+  for (int i = 0; i < 250 && harness.nameServer->queryCount < before + 2; ++i)
     std::this_thread::sleep_for(std::chrono::milliseconds(10));
-  rig.names->set(3, rig.rows());
-  const std::string call = rig.freshCall();
-  viewer.say(offer(call));
-  Arrived at = arrive(rig, call);
-  at.talk.say(accepted(call));
-  viewer.need(Op::accept, call);
+  harness.nameServer->set(3, harness.nodeRows());
+  const std::string call = harness.newCallId();
+  viewer.send(makeOffer(call));
+  ReceivedOffer received = awaitOffer(harness, call);
+  received.connection.send(makeAccept(call));
+  viewer.expect(Op::accept, call);
 }
 
-TEST_CASE("What no node could use gets an answer or a close, and never a node") {
-  Rig rig;
-  const auto refused = [&](const std::string& line) {
+TEST_CASE("An invalid request is rejected or its connection closed, and no node sees it") {
+  TestHarness harness;
+  const auto expectRejected = [&](const std::string& line) {
     INFO(line.substr(0, 200));
-    Talk bad = rig.viewer();
-    bad.bytes(line + "\n");
-    const auto message = bad.hear(3'000);
+    TestConnection invalidClient = harness.viewer();
+    invalidClient.sendBytes(line + "\n");
+    const auto message = invalidClient.receive(3'000);
     if (message) CHECK(message->op == Op::end);
-    if (!message) CHECK(bad.closes(100));
+    if (!message) CHECK(invalidClient.isClosedWithin(100));
   };
-  refused("nonsense");
-  refused(std::string(17'000, 'x'));
-  const auto changed = [&](const char* field, const char* value) {
-    Message m = offer(rig.freshCall());
+  expectRejected("nonsense");
+  expectRejected(std::string(17'000, 'x'));
+  const auto offerWith = [&](const char* field, const char* value) {
+    Message m = makeOffer(harness.newCallId());
     if (value == nullptr)
-      m.with.erase(field);
+      m.fields.erase(field);
     else
-      m.with[field] = value;
-    std::string bytes = jsonl::bytesOf(m);
+      m.fields[field] = value;
+    std::string bytes = jsonl::serialize(m);
     bytes.pop_back();
     return bytes;
   };
-  refused(changed("class", "no-such-class"));
-  refused(changed("class", nullptr));
-  refused(changed("key", nullptr));
-  for (const char* left : {"-1", "x", "1e300", "nan", ""}) refused(changed("left", left));
-  for (const char* hint : {"-1", "x", "1e300"}) refused(changed("hint", hint));
+  expectRejected(offerWith("class", "no-such-class"));
+  expectRejected(offerWith("class", nullptr));
+  expectRejected(offerWith("key", nullptr));
+  for (const char* left : {"-1", "x", "1e300", "nan", ""}) expectRejected(offerWith("left", left));
+  for (const char* hint : {"-1", "x", "1e300"}) expectRejected(offerWith("hint", hint));
   for (const char* extras : {"home:-1;copies:2;top:2", "home:0;copies:0;top:2", "home:0;copies:99;top:2",
                              "home:x;copies:2;top:2", "home:0;copies:2", "home", ""})
-    refused(changed("extras", extras));
-  Message bare = offer(rig.freshCall());
-  bare.desc.reset();
-  std::string line = jsonl::bytesOf(bare);
+    expectRejected(offerWith("extras", extras));
+  Message withoutDescription = makeOffer(harness.newCallId());
+  withoutDescription.description.reset();
+  std::string line = jsonl::serialize(withoutDescription);
   line.pop_back();
-  refused(line);
-  Talk silent = rig.viewer();
-  CHECK(silent.closes(3'000));
-  for (const Listening& node : rig.nodes) CHECK(!node.tryAccept(50));
+  expectRejected(line);
+  TestConnection silent = harness.viewer();
+  CHECK(silent.isClosedWithin(3'000));
+  for (const StubNode& node : harness.nodes) CHECK(!node.tryAccept(50));
 }
 
-TEST_CASE("The id of another's request can't touch it") {
-  Rig rig;
-  Talk viewer = rig.viewer();
-  const std::string call = rig.freshCall();
-  viewer.say(offer(call));
-  Arrived at = arrive(rig, call);
-  Talk bad = rig.viewer();
-  Message same = offer(call);
-  same.desc = "another";
-  bad.say(same);
-  CHECK(bad.need(Op::end, call).why != 34);
-  Talk worse = rig.viewer();
-  worse.say(word(Op::end, call, 16));
-  worse.need(Op::end, call);
-  at.talk.say(accepted(call));
-  viewer.need(Op::accept, call);
+TEST_CASE("A call ID in use by another viewer does not affect that viewer's request") {
+  TestHarness harness;
+  TestConnection viewer = harness.viewer();
+  const std::string call = harness.newCallId();
+  viewer.send(makeOffer(call));
+  ReceivedOffer received = awaitOffer(harness, call);
+  TestConnection impostor = harness.viewer();
+  Message forged = makeOffer(call);
+  forged.description = "another";
+  impostor.send(forged);
+  CHECK(impostor.expect(Op::end, call).reasonCode != 34);
+  TestConnection canceller = harness.viewer();
+  canceller.send(makeMessage(Op::end, call, 16));
+  canceller.expect(Op::end, call);
+  received.connection.send(makeAccept(call));
+  viewer.expect(Op::accept, call);
 }
 
-TEST_CASE("Usual viewers are served while hundreds of connections say nothing") {
-  Rig rig(2, 256);
-  Talk viewer = rig.viewer();
-  viewer.say(word(Op::test, "0000000000000001"));
-  viewer.need(Op::tested, "0000000000000001");
-  std::vector<Talk> crowd;
-  for (int i = 0; i < 400; ++i) crowd.push_back(rig.viewer());
-  Talk late = rig.viewer();
-  const std::string call = rig.freshCall();
-  late.say(offer(call));
-  Arrived at = arrive(rig, call);
-  at.talk.say(accepted(call));
-  late.need(Op::accept, call);
-  viewer.say(word(Op::test, "0000000000000002"));
-  viewer.need(Op::tested, "0000000000000002");
-  CHECK(crowd.front().closes(3'000));
+TEST_CASE("Viewers are served while hundreds of connections stay silent") {
+  TestHarness harness(2, 256);
+  TestConnection viewer = harness.viewer();
+  viewer.send(makeMessage(Op::test, "0000000000000001"));
+  viewer.expect(Op::tested, "0000000000000001");
+  std::vector<TestConnection> idleClients;
+  for (int i = 0; i < 400; ++i) idleClients.push_back(harness.viewer());
+  TestConnection late = harness.viewer();
+  const std::string call = harness.newCallId();
+  late.send(makeOffer(call));
+  ReceivedOffer received = awaitOffer(harness, call);
+  received.connection.send(makeAccept(call));
+  late.expect(Op::accept, call);
+  viewer.send(makeMessage(Op::test, "0000000000000002"));
+  viewer.expect(Op::tested, "0000000000000002");
+  CHECK(idleClients.front().isClosedWithin(3'000));
 }
 
-TEST_CASE("SIGHUP moves to another name server; a file that can't be read changes nothing") {
-  Rig rig(1);
-  std::ofstream(rig.file) << "{";
-  kill(rig.process, SIGHUP);
-  Talk viewer = rig.viewer();
-  viewer.say(word(Op::test, "0000000000000001"));
-  viewer.need(Op::tested, "0000000000000001");
+TEST_CASE("SIGHUP switches to another name server, and an invalid file changes nothing") {
+  TestHarness harness(1);
+  std::ofstream(harness.file) << "{";
+  kill(harness.process, SIGHUP);
+  TestConnection viewer = harness.viewer();
+  viewer.send(makeMessage(Op::test, "0000000000000001"));
+  viewer.expect(Op::tested, "0000000000000001");
 
-  NameServer second({});
-  auto rows = rig.rows();
+  StubNameServer second({});
+  auto rows = harness.nodeRows();
   rows[0].draining = true;
   second.set(2, rows);
-  std::unique_ptr<NameServer> first = std::move(rig.names);
-  rig.names.reset(&second);
-  rig.write();
-  rig.names.release();
-  rig.names = std::move(first);
-  kill(rig.process, SIGHUP);
-  for (int i = 0; i < 250 && second.asked < 2; ++i)
+  std::unique_ptr<StubNameServer> first = std::move(harness.nameServer);
+  harness.nameServer.reset(&second);
+  harness.writeConfiguration();
+  harness.nameServer.release();
+  harness.nameServer = std::move(first);
+  kill(harness.process, SIGHUP);
+  for (int i = 0; i < 250 && second.queryCount < 2; ++i)
     std::this_thread::sleep_for(std::chrono::milliseconds(20));
-  CHECK(second.asked >= 2);
-  // The only node drains by the new list: nothing new goes there.
-  const std::string call = rig.freshCall();
-  viewer.say(offer(call));
-  CHECK(viewer.need(Op::end, call).why == 34);
+  CHECK(second.queryCount >= 2);
+  // The new list marks the only node as draining, so it gets no new offers.
+  const std::string call = harness.newCallId();
+  viewer.send(makeOffer(call));
+  CHECK(viewer.expect(Op::end, call).reasonCode == 34);
 }
 
-TEST_CASE("SIGTERM: what is open and what still comes is answered, then it ends with 0") {
-  Rig rig;
-  Talk viewer = rig.viewer();
-  const std::string open = rig.freshCall();
-  viewer.say(offer(open));
-  Arrived at = arrive(rig, open);
-  kill(rig.process, SIGTERM);
+TEST_CASE("After SIGTERM, pending and new requests are answered before the process exits with 0") {
+  TestHarness harness;
+  TestConnection viewer = harness.viewer();
+  const std::string open = harness.newCallId();
+  viewer.send(makeOffer(open));
+  ReceivedOffer received = awaitOffer(harness, open);
+  kill(harness.process, SIGTERM);
   std::this_thread::sleep_for(std::chrono::milliseconds(100));
-  Talk fresh = rig.viewer();
-  const std::string late = rig.freshCall();
-  fresh.say(offer(late));
-  Arrived next = arrive(rig, late);
-  at.talk.say(accepted(open));
-  next.talk.say(accepted(late));
-  viewer.need(Op::accept, open);
-  fresh.need(Op::accept, late);
-  CHECK(rig.ends(6'000) == 0);
+  TestConnection fresh = harness.viewer();
+  const std::string late = harness.newCallId();
+  fresh.send(makeOffer(late));
+  ReceivedOffer next = awaitOffer(harness, late);
+  received.connection.send(makeAccept(open));
+  next.connection.send(makeAccept(late));
+  viewer.expect(Op::accept, open);
+  fresh.expect(Op::accept, late);
+  CHECK(harness.exitCodeWithin(6'000) == 0);
 }
 
-TEST_CASE("A start that can't be is one line that names the field, and another exit code than 0") {
-  const auto complaint = [](const std::string& configuration) {
+TEST_CASE("An invalid configuration fails the start with one line that names the field") {
+  const auto startError = [](const std::string& configuration) {
     const std::string file =
         std::filesystem::temp_directory_path() / ("lupinsill-bad-" + std::to_string(getpid()) + ".json");
     std::ofstream(file) << configuration;
@@ -362,10 +368,10 @@
     std::filesystem::remove(file);
     return text;
   };
-  CHECK(complaint("{").find("LB_CONFIG") != std::string::npos);
-  CHECK(complaint("{}").find("name: missing") != std::string::npos);
-  CHECK(complaint(R"({"name":"a","listen":"nowhere"})").find("listen: expected host:port") !=
+  CHECK(startError("{").find("LB_CONFIG") != std::string::npos);
+  CHECK(startError("{}").find("name: missing") != std::string::npos);
+  CHECK(startError(R"({"name":"a","listen":"nowhere"})").find("listen: expected host:port") !=
         std::string::npos);
-  CHECK(complaint(R"({"name":"a","listen":"127.0.0.1:0","resolver":"127.0.0.1:1","seed":"xyz"})")
+  CHECK(startError(R"({"name":"a","listen":"127.0.0.1:0","resolver":"127.0.0.1:1","seed":"xyz"})")
             .find("seed") != std::string::npos);
 }
