--- a/src/control_settings/control_settings.cpp
+++ b/src/control_settings/control_settings.cpp
@@ -49,7 +49,7 @@
     if (const Json* v = itemIn(listIn(domain, "seats"), index))
       room.seats = static_cast<int>(parseInteger(*v, "seats", 0, 1'000'000'000));
     names.roomTypes.push_back(name);
-    settings.roomTypes.push_back(room);
+    settings.roomTypes.push_back(std::move(room));
   }
   for (const Json& item : listIn(json, "parties")) {
     if (!item.is_object()) failInvalid("parties", "not an object");
