--- a/src/platform/viewers.h
+++ b/src/platform/viewers.h
@@ -116,8 +116,8 @@
   std::map<std::uint64_t, std::unique_ptr<ViewerConnection>> connections_;  // in order of arrival
   std::vector<std::unique_ptr<ViewerConnection>> closedConnections_;        // freed in the next tick
   std::map<std::string, std::unique_ptr<CallEntry>> calls_;                 // by the ID on the wire
-  std::map<session::CallId, CallEntry*> callsByCallId_;
-  bool testPassed_ = false;      // a health check has passed
+  std::map<session::CallId, CallEntry*> callsByCallId_;                     // by the ID in the front
+  bool testPassed_ = false;                                                 // a health check has passed
   Micros adoptionTimeLeft_ = 0;  // counted from the first passed health check
   Micros lastTick_ = 0;
   std::deque<Release> queuedReleases_;  // waiting for a verified connection
--- a/tests/discovery_test.h
+++ b/tests/discovery_test.h
@@ -8,6 +8,7 @@
 
 namespace lupinsill::tests {
 
+// A media node in the list.
 struct NodeRow {
   std::string name, zone = "east", kind = "std", host = "127.0.0.1";
   int port = 5070, cell = 0;
@@ -15,8 +16,10 @@
   long long started = 0;
 };
 
+// Writes one DNS message.
 class DnsWriter {
  public:
+  // Returns an answer with SRV records, the SOA record with the serial, and A and TXT records of the nodes.
   static std::string answer(std::uint16_t queryId, std::uint32_t serial, const std::vector<NodeRow>& rows,
                             int rcode = 0, const std::string& service = "_api._tcp.svc.local") {
     DnsWriter writer;
@@ -27,16 +30,16 @@
     writer.put16(1);
     writer.put16(static_cast<unsigned>(2 * rows.size()));
     writer.name(service);
-    writer.put16(33);
-    writer.put16(1);
+    writer.put16(typeSrv);
+    writer.put16(classIn);
     for (const NodeRow& row : rows)
-      writer.record(service, 33, [&] {
+      writer.record(service, typeSrv, [&] {
         writer.put16(row.draining ? 1 : 0);
         writer.put16(40);
         writer.put16(static_cast<unsigned>(row.port));
         writer.name(row.name + "." + row.zone + ".hosts");
       });
-    writer.record("svc.local", 6, [&] {
+    writer.record("svc.local", typeSoa, [&] {
       writer.name("ns.svc.local");
       writer.name("admin.svc.local");
       writer.put32(serial);
@@ -44,7 +47,7 @@
     });
     for (const NodeRow& row : rows) {
       const std::string host = row.name + "." + row.zone + ".hosts";
-      writer.record(host, 1, [&] {
+      writer.record(host, typeA, [&] {
         unsigned value = 0;
         for (const char c : row.host + ".")
           if (c == '.')
@@ -52,7 +55,7 @@
           else
             value = value * 10 + static_cast<unsigned>(c - '0');
       });
-      writer.record(host, 16, [&] {
+      writer.record(host, typeTxt, [&] {
         for (const std::string& text : {"kind=" + row.kind, "cell=" + std::to_string(row.cell),
                                         "started=" + std::to_string(row.started)})
           writer.bytes_ += static_cast<char>(text.size()) + text;
@@ -62,6 +65,8 @@
   }
 
  private:
+  static constexpr unsigned typeA = 1, typeSoa = 6, typeTxt = 16, typeSrv = 33, classIn = 1;
+
   void put16(unsigned value) {
     bytes_ += static_cast<char>(value >> 8);
     bytes_ += static_cast<char>(value);
@@ -86,8 +91,8 @@
   void record(const std::string& owner, unsigned type, Data data) {
     name(owner);
     put16(type);
-    put16(1);
-    put32(1);
+    put16(classIn);
+    put32(1);  // time to live in seconds
     const std::size_t size = bytes_.size();
     put16(0);
     data();
@@ -96,7 +101,7 @@
     bytes_[size + 1] = static_cast<char>(used);
   }
   std::string bytes_;
-  std::map<std::string, unsigned> nameOffsets_;
+  std::map<std::string, unsigned> nameOffsets_;  // of names written before, for compression
 };
 
 }  // namespace lupinsill::tests
--- a/tests/platform_rig.h
+++ b/tests/platform_rig.h
@@ -71,6 +71,7 @@
     if (fd >= 0) ::close(fd);
     fd = -1;
   }
+  // Closes with a TCP reset.
   void reset() {
     const linger resetOnClose{1, 0};
     setsockopt(fd, SOL_SOCKET, SO_LINGER, &resetOnClose, sizeof resetOnClose);
@@ -80,6 +81,7 @@
     REQUIRE(::send(fd, text.data(), text.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(text.size()));
   }
   void send(const Message& message) const { sendBytes(jsonl::serialize(message)); }
+  // Returns the next message, or nothing on timeout or close.
   std::optional<Message> receive(int milliseconds = 5'000) {
     const auto until = Clock::now() + std::chrono::milliseconds(milliseconds);
     while (true) {
@@ -93,6 +95,7 @@
       reader.feed({buffer, static_cast<std::size_t>(n)});
     }
   }
+  // Receives a message and checks its operation and call ID.
   Message expect(Op op, const std::string& call) {
     const auto message = receive();
     REQUIRE(message);
@@ -100,6 +103,7 @@
     CHECK(message->call == call);
     return *message;
   }
+  // Whether the director closes the connection within the time; messages before that are discarded.
   bool isClosedWithin(int milliseconds = 6'000) {
     const auto until = Clock::now() + std::chrono::milliseconds(milliseconds);
     while (Clock::now() < until) {
@@ -163,9 +167,10 @@
     thread.join();
     ::close(fd);
   }
-  void set(std::uint32_t number, std::vector<NodeRow> list) {
+  // Replaces the list.
+  void set(std::uint32_t newSerial, std::vector<NodeRow> list) {
     const std::lock_guard lock(mutex);
-    serial = number;
+    serial = newSerial;
     rows = std::move(list);
   }
   void loop() {
@@ -179,8 +184,8 @@
       ++queryCount;
       if (silent) continue;
       const std::lock_guard lock(mutex);
-      const auto number = static_cast<std::uint16_t>(buffer[0] << 8 | buffer[1]);
-      const std::string answer = DnsWriter::answer(number, serial, rows);
+      const auto queryId = static_cast<std::uint16_t>(buffer[0] << 8 | buffer[1]);
+      const std::string answer = DnsWriter::answer(queryId, serial, rows);
       sendto(fd, answer.data(), answer.size(), 0, reinterpret_cast<sockaddr*>(&from), size);
     }
   }
