--- a/src/platform/run.cpp
+++ b/src/platform/run.cpp
@@ -341,9 +341,9 @@
   const Nodes::Statistics nodeStatistics = nodes_.statistics();
   std::string heldByRule;
   for (std::size_t i = 0; i < session::ruleCount; ++i)
-    if (sessionStatistics.held[i] != 0)
+    if (sessionStatistics.guardViolations[i] != 0)
       heldByRule += std::string(heldByRule.empty() ? "" : ",") + nameOf(static_cast<session::Rule>(i)) + ":" +
-                    std::to_string(sessionStatistics.held[i]);
+                    std::to_string(sessionStatistics.guardViolations[i]);
   const auto text = [](std::uint64_t value) { return std::to_string(value); };
   log(level, "figures",
       {{"asks", text(sessionStatistics.asks)},
--- a/src/platform/viewers.h
+++ b/src/platform/viewers.h
@@ -108,8 +108,8 @@
   control_settings::Names names_;
   ControlSettings settings_;
   Limits limits_;
-  RetryAfterSchedule
-      retryAfterSchedule_;  // of requests over the flow limit, spread as the decision module spreads its own
+  // Retry times for requests over the flow limit, spread over time like those of the decision module.
+  RetryAfterSchedule retryAfterSchedule_;
   net::Listener listener_;
   session::CallId lastCallId_ = 0;
   std::uint64_t lastConnectionId_ = 0;
@@ -117,7 +117,8 @@
   std::vector<std::unique_ptr<ViewerConnection>> closedConnections_;        // freed in the next tick
   std::map<std::string, std::unique_ptr<CallEntry>> calls_;                 // by the ID on the wire
   std::map<session::CallId, CallEntry*> callsByCallId_;                     // by the ID in the front
-  bool testPassed_ = false;                                                 // a health check has passed
+
+  bool testPassed_ = false;      // a health check has passed
   Micros adoptionTimeLeft_ = 0;  // counted from the first passed health check
   Micros lastTick_ = 0;
   std::deque<Release> queuedReleases_;  // waiting for a verified connection
