--- a/src/control.cpp
+++ b/src/control.cpp
@@ -1,7 +1,13 @@
-// The decisions of lupinsill: which media node a subscription joins, at which rung, or whether it is
-// throttled. Called through Control::handle (control.h) with all events of one turn; every answer it gives
-// is an Action appended to the caller's list. handle() turns the events' ids into parts, puts a note into
-// one part's inbox and lets the post office empty the inboxes; parts reach each other in no other way.
+// Decides which media node a subscription joins, at which rung, and when a request is throttled or
+// terminated.
+//
+// The module consists of actors: the scheduler, the media nodes and the racks. Each has a mailbox, and actors
+// call one another only by messages, which the dispatcher delivers in the order in which they were sent.
+// Control::handle (control.h) resolves the ids of each event, sends messages to the actors concerned and runs
+// the dispatcher until all mailboxes are empty. Actions are appended to the caller's list.
+//
+// "Use" is the data rate asked of a link or rack uplink divided by its capacity. "Own" load is the load of
+// this director's subscriptions; other directors place subscriptions on the same nodes without coordination.
 #include "control.h"
 
 #include <algorithm>
@@ -14,52 +20,80 @@
 namespace lupinsill {
 namespace {
 
-constexpr Micros second = 1'000'000;
+constexpr Micros millisecond = 1'000;
+constexpr Micros second = 1'000 * millisecond;
 
-// The marks of the gate, in parts of a link or uplink. The paper's 85% and 70% of busy threads.
+// Thresholds on use. A node's gate closes above the high mark and opens again below the low mark.
 constexpr double highMark = 0.98;
 constexpr double lowMark = 0.9;
-constexpr double aimMark = 0.94;    // where steps of playing subscriptions bring a limit back to
-constexpr double idleMark = 0.8;    // under it playing subscriptions step up
-constexpr double raiseMark = 0.85;  // where steps up leave it
-constexpr double unreadUse = 0.5;   // of a link while nothing has been read anywhere
-constexpr Micros quotaSpan = 5 * second;
-constexpr double quotaLean = 1.5;        // a director may see this much more of a tenant than its even part
-constexpr Micros askAgain = second;      // after a call for the list that failed
-constexpr Micros closeHold = 400'000;    // the paper holds 2 s; notes here are already seconds old
-constexpr Micros openHold = 200'000;     // the paper holds 10 s, a quarter of a subscription's life here
-constexpr Micros fullHold = 4 * second;  // doubles while the node stays full, up to the courtesy span
-constexpr double spareShare = 0.5;       // of the spare room, per second
-constexpr double rateSpread = 0.15;      // titles run this far over their rung's rate
-constexpr double rackPart = 2;           // newcomers that may meet in an uplink's room
-constexpr Micros courtesySpan = 30 * second;  // the paper's reconnect courtesy
-constexpr Micros playedSpan = 120 * second;   // a title that has played is known for so long
-constexpr Micros reportAge = 300'000;         // of a report that comes with an outcome, about
-constexpr Micros tickSpan = 200'000;
-constexpr Micros comersSpan = 30 * second;
-constexpr double letThrough = 0.5;  // of a turn's set-ups, by chance: together they may come in a heap
-constexpr double drawnOf = 4;       // holders to one set-up: two are drawn, and half may be closed
-constexpr Micros meanSpan =
-    3 * second;  // of the readings that tell of links not read, or half a round of notes
-constexpr Micros readSpan = 10 * second;  // in which a reading not renewed loses its say
-constexpr double jamMark = 1.08;          // over it a shortage costs more than steps: half the dwell
-constexpr Micros dwell = 8 * second;      // between two steps of one subscription
-constexpr double readMost = 20;           // no link is asked for more; a shortage says 1 / 0.05 at most
-constexpr Micros advised = 500'000;       // the middle of the times to come back, where they may be told
-
-// What happened over the last Span, counted in buckets of time that are used again.
+constexpr double stepDownTarget = 0.94;  // above the high mark, rungs are lowered until use is back here
+constexpr double idleMark = 0.8;         // below it, rungs of playing subscriptions are raised
+constexpr double stepUpTarget = 0.85;    // rungs are raised until use reaches this
+constexpr double overloadMark = 1.08;    // above it the shortage costs more than frequent rung changes do
+constexpr double priorLinkUse = 0.5;     // assumed of a link while no link has been measured
+constexpr double maxMeasuredUse = 20;  // higher measurements are cut; short delivery implies at most as much
+
+// Short delivery: the share of its data rate that a subscription receives is below fullDeliveredShare.
+constexpr double fullDeliveredShare = 0.98;
+constexpr double maxShareSpread = 0.15;  // nodes behind a full uplink deliver short by about the same share
+constexpr double hangingDeliveredShare = 0.2;  // at or below it the node seems to hang
+constexpr double explainingLinkUse = 0.95;     // at or above it the link itself explains short delivery
+// Use of a link is inferred from delivered shares in this range, unless a recent measurement shows less than
+// nearlyFullUse.
+constexpr double minShareToInferFrom = 0.4;
+constexpr double maxShareToInferFrom = 0.97;
+constexpr double nearlyFullUse = 0.9;
+
+// Hysteresis of the gate: how long use must stay beyond a mark before the gate closes or opens.
+constexpr Micros closeDelay = 400 * millisecond;  // short: measurements are seconds old when they arrive
+constexpr Micros openDelay = 200 * millisecond;   // short: 10 s would be a quarter of a subscription's life
+
+// Between two rung changes of one subscription; half of it above the overload mark.
+constexpr Micros stepInterval = 8 * second;
+constexpr Micros minSetUpTime = 300 * millisecond;  // a join is given at least this long to start
+constexpr Micros minTimeToJoin = 50 * millisecond;  // no join is sent closer to the client timeout
+
+constexpr Micros quotaWindow = 5 * second;
+constexpr double quotaTolerance = 1.5;     // multiple of its even part of a quota that a director may receive
+constexpr double retryBudgetMargin = 0.9;  // part of the share in the retry budget that is used
+constexpr Micros reconnectGrace = 30 * second;  // viewers whose subscription broke pass a closed gate
+constexpr Micros fullBackoff = 4 * second;      // doubles while a node stays full, up to reconnectGrace
+constexpr Micros failureWindow = 20 * second;   // in which failures count as recent
+constexpr double spareShare = 0.5;   // part of a node's spare capacity given to newcomers per second
+constexpr double rateMargin = 0.15;  // titles may exceed the data rate of their rung by this part
+constexpr double concurrentUplinkArrivals = 2;  // newcomers that may meet at one uplink
+
+// Slow start of cold nodes.
+constexpr Micros arrivalWindow = 30 * second;    // in which the requests for a cell are counted
+constexpr double targetSetUpsPerInterval = 0.5;  // of all directors together; random arrivals cluster
+constexpr double drawsPerRequest = 4;  // two holders are drawn, and half of the holders may be closed
+
+constexpr Micros playedTitleRetention = 120 * second;   // how long a title counts as one that has played
+constexpr Micros outcomeReportAge = 300 * millisecond;  // typical age of a load report sent with an outcome
+constexpr Micros estimateDecay = 10 * second;  // in which an estimate that is not renewed loses its weight
+// Window of the mean use of recently measured links; half the report interval if that is longer.
+constexpr Micros minMeanUseWindow = 3 * second;
+
+constexpr Micros tickInterval = 200 * millisecond;
+constexpr Micros listRetryDelay = second;             // before the list is requested again after a failure
+constexpr Micros meanRetryAfter = 500 * millisecond;  // of the retry delays that are told to viewers
+constexpr double goldenRatioFraction = 0.618034;  // multiples of it modulo 1 are evenly spread over 0 to 1
+
+// The sum of the amounts added within a sliding window of time. The window is divided into buckets, which are
+// reused in a ring.
 template <int Buckets>
-class Tally {
+class SlidingWindowSum {
  public:
-  explicit Tally(Micros span) : width_(std::max<Micros>(1, span / Buckets)) {}
+  explicit SlidingWindowSum(Micros window) : width_(std::max<Micros>(1, window / Buckets)) {}
   void add(Micros now, double amount) {
-    roll(now);
+    advance(now);
     sums_[slot(bucket_)] += amount;
   }
+  // Sums what was added within the last `age`, at most the window.
   double sum(Micros now, Micros age = 3600 * second) {
-    roll(now);
+    advance(now);
     double total = 0;
-    // Not below the clock's zero: a machine's clock may have started less than Span ago.
+    // Bucket numbers below zero do not exist: the clock may have started less than a window ago.
     for (Micros b = bucket_; b >= 0 && b > std::max((now - age) / width_, bucket_ - Buckets - 1); --b)
       total += sums_[slot(b)];
     return total;
@@ -67,7 +101,8 @@
 
  private:
   static std::size_t slot(Micros bucket) { return static_cast<std::size_t>(bucket % (Buckets + 1)); }
-  void roll(Micros now) {
+  // Clears the buckets that have left the window.
+  void advance(Micros now) {
     const Micros current = now / width_;
     if (current - bucket_ > Buckets) sums_.fill(0);
     while (bucket_ < current) {
@@ -83,994 +118,1121 @@
 struct Node;
 struct Cell;
 struct Rack;
-struct Sub;
+struct Subscription;
 
-// An answer of a media node to the desk's question what it could do for a subscription.
-struct Offer {
-  Sub* sub = nullptr;
+// A media node's reply to a CandidateQuery: whether it could take the subscription, and at which rung.
+struct Candidate {
+  Subscription* subscription = nullptr;
   Node* node = nullptr;
-  bool open = false;
-  bool fit = false;    // ready, healthy and, where cold, in its pace
-  bool clean = false;  // no failure for a while
-  bool home = false;   // in this director's zone
-  bool overShare = false;
+  bool open = false;             // its gate is open for this subscription
+  bool eligible = false;         // may serve it, is not ejected and, where cold, slow start allows a join now
+  bool noRecentFailure = false;  // no join has failed there within the failure window
+  bool sameZone = false;         // in this director's zone
+  bool exceedsSpareShare = false;  // the newcomers of this second already use up the spare share
   double use = 0;
   int rung = 0;
 };
 
-// A viewer's subscription as the desk holds it, from the request to the end of its last join.
-struct Sub {
+// A viewer's subscription, from the request to the end of its last join.
+struct Subscription {
   SubscriptionId id = 0;
   const RoomType* room = nullptr;
   int roomIndex = 0;
-  SubscriptionInfo viewing;
-  Node* at = nullptr;   // the join that is out, or where it plays
-  Node* ran = nullptr;  // the last join that may have run binds where it may go again
-  Micros ranSent = 0;
-  Micros sent = 0;
-  Micros began = 0;
-  Micros stepped = 0;
-  std::vector<Node*> tried;
-  std::size_t asked = 0;  // holders whose offers the desk awaits
-  std::vector<Offer> offers;
-  int joins = 0;
+  SubscriptionInfo info;
+  Node* currentNode = nullptr;     // where a join is pending or the subscription plays
+  Node* mayHaveRunNode = nullptr;  // target of the last join that may have run; restricts further joins
+  Micros mayHaveRunSentAt = 0;     // when that join was sent
+  Micros joinSentAt = 0;
+  Micros startedAt = 0;
+  Micros steppedAt = 0;  // the last rung change decided here
+  std::vector<Node*> triedNodes;
+  std::size_t awaitedCandidates = 0;  // queried nodes
+  std::vector<Candidate> candidates;  // replies received so far
+  int joinsSent = 0;
   int rung = 0;
-  double kb = 0;  // what it was charged at its node
+  double chargedKb = 0;  // data rate counted for it at its node
   bool playing = false;
-  bool answered = false;
-  bool courtesy = false;
-  bool overQuota = false;  // its tenant sends more than its share
-  bool toldLink = false;   // the note at set-up has come
-  bool proven = false;     // its title had played when its join went out
+  bool answered = false;  // started or abandoned: no further join and no answer follows
+  bool hasReconnectGrace = false;
+  bool overQuota = false;           // its tenant sends more than its quota
+  bool hasLinkMeasurement = false;  // the link measurement sent at set-up has arrived
+  bool titleHadPlayed = false;      // its title had played before its join was sent
 };
 
-struct Ask {
-  Sub* sub;
-  double linkGuess;  // what the director's other readings say of a link, and of an uplink
-  double uplinkGuess;
-  double comers;  // requests of late that the node's cell could have taken
+// ---- Messages ----
+
+// Scheduler to node: asks whether the node could take a subscription.
+struct CandidateQuery {
+  Subscription* subscription;
+  double fallbackLinkUse;  // mean of the recent measurements of other nodes, for a node without its own
+  double fallbackUplinkUse;
+  double recentArrivals;  // requests within arrivalWindow that could have gone to the node's cell
 };
-struct Take {
-  Sub* sub;
+// Scheduler to node: a subscription joins the node, or was adopted while it played there.
+struct Assign {
+  Subscription* subscription;
   int rung;
-  bool underWay;
+  bool adopted;
 };
-struct Play {};
-struct Ended {  // to its node, then to the desk
-  Sub* sub;
+// To the node: a join has started to play.
+struct JoinSucceeded {};
+// To the node, then to the scheduler: a join or a playing subscription has ended.
+struct AssignmentEnded {
+  Subscription* subscription;
   Outcome outcome;
   LoadReport report;
   bool settled;
 };
-struct Hear {
-  Sub* sub;
-  MeasurementKind reading;
+// To the node: a measurement made by one of its subscriptions.
+struct Measurement {
+  Subscription* subscription;
+  MeasurementKind kind;
   double value;
 };
-struct Listed {
-  std::optional<ListEntry> entry;  // none: a whole list without it
+// To the node: its entry in the node list.
+struct ListEntryUpdated {
+  std::optional<ListEntry> entry;  // empty: a complete list does not name the node
 };
-struct UplinkUse {
+// Rack to node: the estimated use of the uplink.
+struct UplinkEstimate {
   std::optional<double> use;
-  Micros react;  // to what was so at this moment; 0: not now
+  Micros adjustRungsFor;  // time of the measurement to adjust rungs for; 0: no adjustment
 };
-struct UplinkLoad {
+// Node to rack: the own load on the uplink has changed.
+struct UplinkLoadChanged {
   Node* node;
-  double kb;
+  double changeKb;
 };
-struct Read {
-  MeasurementKind reading;
+// Node to scheduler: use of a link or uplink was measured.
+struct UseMeasured {
+  MeasurementKind kind;
   double use;
 };
-struct Shortfall {
+// Node to rack: the share of its data rate that a subscription received.
+struct DeliveryMeasured {
   Node* node;
-  double share;
-  bool explained;
+  double deliveredShare;
+  bool explainedByLink;  // not evidence about the uplink
 };
-struct UplinkSeen {
+// Node to rack: use of the uplink was measured.
+struct UplinkMeasured {
   double use;
   Micros age;
-  Node* by;  // its round of notes is complete
+  Node* source;  // node whose load report is complete with this measurement; null: none
 };
-struct Start {
-  Sub* sub;
+// To the scheduler: a new subscription to place.
+struct RequestReceived {
+  Subscription* subscription;
 };
 
-using Note = std::variant<Ask, Read, Take, Play, Ended, Hear, Listed, UplinkUse, UplinkLoad, UplinkSeen,
-                          Shortfall, Start, Offer>;
+using Message = std::variant<CandidateQuery, UseMeasured, Assign, JoinSucceeded, AssignmentEnded, Measurement,
+                             ListEntryUpdated, UplinkEstimate, UplinkLoadChanged, UplinkMeasured,
+                             DeliveryMeasured, RequestReceived, Candidate>;
 
-struct Post;
+struct Dispatcher;
 
-struct Part {
-  explicit Part(Post& office) : post(office) {}
-  virtual ~Part() = default;
-  virtual void read(const Note& note) = 0;
-  Post& post;
-  std::deque<Note> inbox;
+// A unit of state that is changed only by the messages in its mailbox.
+struct Actor {
+  explicit Actor(Dispatcher& shared) : dispatcher(shared) {}
+  virtual ~Actor() = default;
+  virtual void receive(const Message& message) = 0;
+  Dispatcher& dispatcher;
+  std::deque<Message> mailbox;
 };
 
-// The one loop: parts whose inboxes hold notes, in the order in which they were written to.
-struct Post {
-  explicit Post(ControlSettings handed, std::uint64_t seed)
-      : terms(made(std::move(handed))),
-        chance(static_cast<std::minstd_rand::result_type>(seed % 2147483646 + 1)),
-        comeBack(terms) {
-    const std::size_t steps = terms.ladderKb.size() - 1;
-    for (const RoomType& room : terms.roomTypes)
+// Delivers messages in the order in which they were sent, and holds the settings and the clock that all
+// actors share.
+struct Dispatcher {
+  explicit Dispatcher(ControlSettings initial, std::uint64_t seed)
+      : settings(sanitized(std::move(initial))),
+        random(static_cast<std::minstd_rand::result_type>(seed % 2147483646 + 1)),
+        retryAfterSchedule(settings) {
+    const std::size_t steps = settings.ladderKb.size() - 1;
+    for (const RoomType& room : settings.roomTypes)
       for (std::size_t rung = 0; rung < steps; ++rung)
-        meanGain += gainPerKb(room, rung) / static_cast<double>(steps * terms.roomTypes.size());
+        meanBenefitPerKb += benefitPerKb(room, rung) / static_cast<double>(steps * settings.roomTypes.size());
   }
-  void send(Part& to, Note note) {
-    to.inbox.push_back(std::move(note));
-    due.push_back(&to);
+  void send(Actor& to, Message message) {
+    to.mailbox.push_back(std::move(message));
+    pending.push_back(&to);
   }
-  void run() {
-    while (!due.empty()) {
-      Part& part = *due.front();
-      due.pop_front();
-      const Note note = std::move(part.inbox.front());
-      part.inbox.pop_front();
-      part.read(note);
+  void deliverAll() {
+    while (!pending.empty()) {
+      Actor& actor = *pending.front();
+      pending.pop_front();
+      const Message message = std::move(actor.mailbox.front());
+      actor.mailbox.pop_front();
+      actor.receive(message);
     }
   }
-  // Guards against terms that cannot be: everything behind divides by them or indexes with them.
-  static ControlSettings made(ControlSettings t) {
-    if (t.ladderKb.empty()) t.ladderKb = {1};
-    t.rungBenefit.resize(t.ladderKb.size(), t.rungBenefit.empty() ? 1 : t.rungBenefit.back());
-    const int last = static_cast<int>(t.ladderKb.size()) - 1;
-    for (RoomType& room : t.roomTypes)
+  // Guards against impossible settings: values that are divided by or used as an index are brought into
+  // range.
+  static ControlSettings sanitized(ControlSettings s) {
+    if (s.ladderKb.empty()) s.ladderKb = {1};
+    s.rungBenefit.resize(s.ladderKb.size(), s.rungBenefit.empty() ? 1 : s.rungBenefit.back());
+    const int last = static_cast<int>(s.ladderKb.size()) - 1;
+    for (RoomType& room : s.roomTypes)
       room.floor = std::clamp(room.floor, 0, last), room.top = std::clamp(room.top, room.floor, last);
-    t.directors = std::max(1, t.directors);
-    t.ordinal = std::clamp(t.ordinal, 0, t.directors - 1);
-    t.startCapacity = std::max(1e-3, t.startCapacity);
-    t.overloadFactor = std::max(1e-3, t.overloadFactor);
-    return t;
+    s.directors = std::max(1, s.directors);
+    s.ordinal = std::clamp(s.ordinal, 0, s.directors - 1);
+    s.startCapacity = std::max(1e-3, s.startCapacity);
+    s.overloadFactor = std::max(1e-3, s.overloadFactor);
+    return s;
+  }
+  // How long a join may take to start. A longer one leaves too little of the join objective for another join.
+  static Micros maxSetUpTime(const RoomType& room) {
+    return std::max<Micros>(300 * millisecond, room.joinObjective / 2);
+  }
+  // How long a measurement stays valid: three report intervals plus the delay of reports.
+  Micros measurementLifetime() const {
+    return 3 * std::max(settings.reportInterval, second) + settings.seenAfter;
   }
-  // What a set-up may take: from then on it leaves too little of the join objective for another one.
-  static Micros enough(const RoomType& room) { return std::max<Micros>(300'000, room.joinObjective / 2); }
-  // How long a reading stands: three rounds of notes, as late as they come.
-  Micros stands() const { return 3 * std::max(terms.reportInterval, second) + terms.seenAfter; }
-  // Changes are kept for as long as a note may be late.
-  Micros movedSpan() const { return 2 * std::max(terms.seenAfter, second); }
-  double gainPerKb(const RoomType& room, std::size_t rung) const {  // of the step from rung to rung + 1
-    const double kb = (terms.ladderKb[rung + 1] - terms.ladderKb[rung]) * room.rateFactor;
-    return std::max(1e-9, room.benefit * (terms.rungBenefit[rung + 1] - terms.rungBenefit[rung]) / kb);
+  // Load changes are kept for as long as a measurement may be delayed.
+  Micros loadHistoryWindow() const { return 2 * std::max(settings.seenAfter, second); }
+  // Benefit of the step from rung to rung + 1, divided by its data rate.
+  double benefitPerKb(const RoomType& room, std::size_t rung) const {
+    const double stepKb = (settings.ladderKb[rung + 1] - settings.ladderKb[rung]) * room.rateFactor;
+    return std::max(1e-9,
+                    room.benefit * (settings.rungBenefit[rung + 1] - settings.rungBenefit[rung]) / stepKb);
   }
-  ControlSettings terms;
-  std::minstd_rand chance;
-  RetryAfterSchedule comeBack;
+  ControlSettings settings;
+  std::minstd_rand random;
+  RetryAfterSchedule retryAfterSchedule;
   Micros now = 0;
-  Micros born = 0;
-  Micros wokeAt = 0;      // the end of the last stretch in which this director got no turn
-  double mostPlaces = 0;  // of nodes that were ready together
-  double kbPerPlace = 0;  // all links over these
-  double meanGain = 0;    // of a step's kB, over room types and rungs
-  std::vector<Action>* out = nullptr;
-  std::deque<Part*> due;
+  Micros startedAt = 0;
+  Micros resumedAt = 0;         // the end of the last stall, in which this director processed no events
+  double maxReadySlots = 0;     // most slots of nodes that were ready at the same time
+  double linkKbPerSlot = 0;     // the capacity of all links divided by maxReadySlots
+  double meanBenefitPerKb = 0;  // of a step, over all room types and rungs
+  std::vector<Action>* actions = nullptr;
+  std::deque<Actor*> pending;  // one entry for each undelivered message
 };
 
-// A limit as last read: its use then, and what of it was ours then.
-struct Gauge {
+// The use of a link or uplink, estimated from its last measurement and the change of the own load since.
+struct UseEstimate {
   double use = 0;
-  double oursThen = 0;
-  Micros readAt = 0;
-  Micros about = 0;  // the moment that the reading speaks of
+  double ownKbThen = 0;  // own load at the time of measurement
+  Micros receivedAt = 0;
+  Micros measuredAt = 0;
   bool known = false;
 
-  // A reading nobody renews says less and less: in the end the limit is like any other not read. Each
-  // director lets go at its own time, since what was full is full for all of them.
-  double now(const Post& post, double ours, double capacity, double guess, Micros span = readSpan) const {
-    const Micros due = post.stands() + readSpan * post.terms.ordinal / post.terms.directors;
-    const double faded =
-        std::clamp(static_cast<double>(post.now - readAt - due) / static_cast<double>(span), 0.0, 1.0);
-    const double read = std::max(0.0, use + (ours - oursThen) / capacity);
-    return known ? read + faded * (std::min(guess, 0.9 * lowMark) - read) : guess;
+  // A measurement that is not renewed decays towards the fallback, as if the link had never been measured.
+  // Each director starts to forget at its own time: otherwise all of them would try a full node at once.
+  double current(const Dispatcher& dispatcher, double ownKb, double capacityKb, double fallback,
+                 Micros decay = estimateDecay) const {
+    const Micros validFor = dispatcher.measurementLifetime() +
+                            estimateDecay * dispatcher.settings.ordinal / dispatcher.settings.directors;
+    const double decayed = std::clamp(
+        static_cast<double>(dispatcher.now - receivedAt - validFor) / static_cast<double>(decay), 0.0, 1.0);
+    const double measured = std::max(0.0, use + (ownKb - ownKbThen) / capacityKb);
+    return known ? measured + decayed * (std::min(fallback, 0.9 * lowMark) - measured) : fallback;
   }
 };
 
-struct Rack : Part {
-  explicit Rack(Post& office) : Part(office), moved(office.movedSpan()) {}
-  struct Held {
+// The nodes behind one uplink, and the estimated use of that uplink.
+struct Rack : Actor {
+  explicit Rack(Dispatcher& shared) : Actor(shared), loadChanges(shared.loadHistoryWindow()) {}
+  struct AttachedNode {
     Node* node = nullptr;
-    double kb = 0;
-    double share = 1;  // delivered, where the node's link does not explain it
-    Micros toldAt = 0;
-    bool easing = false;  // the share is smoothed: while it rises the shortage is already over
+    double ownKb = 0;
+    double deliveredShare = 1;  // 1 where the node's own link explains a shortage
+    Micros reportedAt = 0;
+    bool recovering = false;  // the share is smoothed by its sender: while it rises, the shortage is over
   };
-  std::vector<Held> nodes;
-  Gauge gauge;
-  Tally<64> moved;  // kb come and gone: late notes speak of then, not of now
-  double kb = 0;
-  bool felt = false;  // the gauge is inferred from short delivery, not read
+  std::vector<AttachedNode> nodes;
+  UseEstimate estimate;
+  SlidingWindowSum<64> loadChanges;  // relates a delayed measurement to the own load at its time
+  double ownKb = 0;
+  bool inferred = false;  // the estimate is inferred from short delivery, not measured
 
-  double capacity() const { return std::max(1.0, post.terms.rackUplinkKb); }
+  double capacityKb() const { return std::max(1.0, dispatcher.settings.rackUplinkKb); }
   std::optional<double> use() const {
-    // Nothing tells that an uplink only felt has room again: it is tried little by little.
-    if (gauge.known) return gauge.now(post, kb, capacity(), kb / capacity(), (felt ? 5 : 1) * readSpan);
+    // No measurement tells when an uplink with an inferred estimate has capacity again: it decays slowly, so
+    // that load returns little by little.
+    if (estimate.known)
+      return estimate.current(dispatcher, ownKb, capacityKb(), ownKb / capacityKb(),
+                              (inferred ? 5 : 1) * estimateDecay);
     return std::nullopt;
   }
-  void read(const Note& note) override;
-  Held& of(const Node* node) {
-    return *std::find_if(nodes.begin(), nodes.end(), [&](const Held& h) { return h.node == node; });
+  void receive(const Message& message) override;
+  AttachedNode& attached(const Node* node) {
+    return *std::find_if(nodes.begin(), nodes.end(), [&](const AttachedNode& a) { return a.node == node; });
   }
-  bool feel();
-  void tell(const Node* by, bool all);
+  bool inferUseFromDelivery();
+  void publishUse(const Node* source, bool adjustAll);
 };
 
-struct Node : Part {
-  Node(Post& office, Part& front, NodeId number) : Part(office), desk(&front), moved(office.movedSpan()) {
-    listing.node = number, listing.state = NodeState::gone;
+// A media node: the load of this director's subscriptions on it, its gate, its health and its slow start.
+struct Node : Actor {
+  Node(Dispatcher& shared, Actor& owner, NodeId id)
+      : Actor(shared), scheduler(&owner), loadChanges(shared.loadHistoryWindow()) {
+    listEntry.node = id, listEntry.state = NodeState::gone;
   }
-  Part* desk;
-  ListEntry listing;  // as last told, but for an earlier start
+  Actor* scheduler;
+  ListEntry listEntry;  // as last received, but readyAt never moves back
   Rack* rack = nullptr;
-  Cell* cell = nullptr;  // in whose list it stands
+  Cell* cell = nullptr;  // the cell that names it
   Micros goneAt = 0;
 
-  std::vector<Sub*> subs;
-  double kb = 0;
-  Tally<64> moved;  // kb come and gone: late notes speak of then, not of now
-  Gauge link;
-  std::optional<double> uplink;  // as its rack tells it
-  double linkGuess = unreadUse;
-  double uplinkGuess = 0;
-  double delivered = 1;
-  Micros deliveredAt = 0;
-  bool closed = false;
-  Micros turningSince = 0;  // past the mark at which the gate turns
-  Tally<10> admitted{second};
-  int strikes = 0;
-  int fulls = 0;  // in a row
-  Tally<10> failures{20 * second};
-  Micros shutUntil = 0;
-  Micros lostAt = 0;  // a sign that the process died: whatever comes back is cold
-  Micros pacedAt = 0;
-  Micros reactedAt = 0;
-
-  const ControlSettings& terms() const { return post.terms; }
-  int places() const { return terms().slotsOf(listing.kind); }
-  bool cold() const { return post.now - std::max(listing.readyAt, lostAt) < terms().coldTime; }
-  double warmth() const {
-    const double age = std::max(0.0, static_cast<double>(post.now - std::max(listing.readyAt, lostAt)));
+  std::vector<Subscription*> subscriptions;
+  double ownKb = 0;
+  SlidingWindowSum<64> loadChanges;  // relates a delayed measurement to the own load at its time
+  UseEstimate linkEstimate;
+  std::optional<double> reportedUplinkUse;  // as last received from its rack
+  double fallbackLinkUse = priorLinkUse;    // as last received with a query
+  double fallbackUplinkUse = 0;
+  double deliveredShare = 1;  // as last measured
+  Micros deliveredAt = 0;     // when that measurement arrived
+  bool gateClosed = false;
+  Micros pastMarkSince = 0;  // since when use is beyond the mark at which the gate turns; 0: it is not
+  SlidingWindowSum<10> admittedKb{second};
+  int ejectionLevel = 0;    // ejections double with it; above 0 the node takes one trial join at a time
+  int consecutiveFull = 0;  // joins refused as full since the last success
+  SlidingWindowSum<10> recentFailures{failureWindow};
+  Micros ejectedUntil = 0;
+  Micros suspectedCrashAt = 0;  // its process seems to have died: the next one starts cold
+  Micros assignedAt = 0;        // when a join was last sent to it
+  Micros rungsAdjustedAt = 0;
+
+  const ControlSettings& settings() const { return dispatcher.settings; }
+  int slots() const { return settings().slotsOf(listEntry.kind); }
+  bool cold() const {
+    return dispatcher.now - std::max(listEntry.readyAt, suspectedCrashAt) < settings().coldTime;
+  }
+  // The part of its full capacity that a cold node has; grows linearly to 1 over the cold time.
+  double slowStartFactor() const {
+    const double age =
+        std::max(0.0, static_cast<double>(dispatcher.now - std::max(listEntry.readyAt, suspectedCrashAt)));
     if (!cold()) return 1;
-    return terms().startCapacity + (1 - terms().startCapacity) * age / static_cast<double>(terms().coldTime);
+    return settings().startCapacity +
+           (1 - settings().startCapacity) * age / static_cast<double>(settings().coldTime);
   }
-  // Weights may be silent or rough, but the places of a kind go with its link.
-  double capacity() const {
-    const double full = post.kbPerPlace > 0 ? post.kbPerPlace * places() : terms().weightKb * listing.weight;
-    return std::max(1.0, full * warmth());
+  // Capacity of the link. Slots are preferred to weights, which may be missing or inexact: the slots of a
+  // kind of node are in proportion to its link.
+  double capacityKb() const {
+    const double full = dispatcher.linkKbPerSlot > 0 ? dispatcher.linkKbPerSlot * slots()
+                                                     : settings().weightKb * listEntry.weight;
+    return std::max(1.0, full * slowStartFactor());
   }
-  double rate(const Sub& sub, int rung) const {
-    return terms().ladderKb[static_cast<std::size_t>(rung)] * sub.room->rateFactor;
+  double rateKb(const Subscription& sub, int rung) const {
+    return settings().ladderKb[static_cast<std::size_t>(rung)] * sub.room->rateFactor;
   }
   double linkUse() const;
-  double rackUse() const { return uplink.value_or(uplinkGuess); }
-  double use() const { return std::max(linkUse(), rackUse()); }
-  bool shortNow() const {
-    return delivered < 0.98 && post.now - deliveredAt < 2 * second + terms().seenAfter;
+  double uplinkUse() const { return reportedUplinkUse.value_or(fallbackUplinkUse); }
+  double use() const { return std::max(linkUse(), uplinkUse()); }
+  bool deliversShort() const {
+    return deliveredShare < fullDeliveredShare &&
+           dispatcher.now - deliveredAt < 2 * second + settings().seenAfter;
+  }
+  void inferLinkUseFromDelivery(double previousShare);
+  void changeRung(Subscription& sub, int rung);
+  // Delivery is short though the link is not full and the node neither hangs nor is cold.
+  bool shortfallUnexplained() const {
+    return deliversShort() && deliveredShare > hangingDeliveredShare && linkUse() < explainingLinkUse &&
+           !cold();
   }
-  void feel(double before);
-  void step(Sub& sub, int rung);
-  bool unexplained() const { return shortNow() && delivered > 0.2 && linkUse() < 0.95 && !cold(); }
-  void setKb(Sub& sub, double charged);
-  bool paced(const Ask& ask);
+  void setCharge(Subscription& sub, double chargeKb);
+  bool slowStartAllows(const CandidateQuery& query);
   bool healthy() const;
-  bool awaits() const {  // a set-up that has not begun
-    return std::any_of(subs.begin(), subs.end(), [](const Sub* sub) { return !sub->playing; });
+  bool hasPendingSetUp() const {
+    return std::any_of(subscriptions.begin(), subscriptions.end(),
+                       [](const Subscription* sub) { return !sub->playing; });
   }
-  bool spoken() const;
-  bool eligible(const Sub& sub) const;
-  void gate();
-  void strike();
-  void readLink(double value, Micros age);
-  void readUplink(double value, Micros age, Node* by);
-  void react(Micros about);
-  void read(const Note& note) override;
-  void answer(const Ask& ask);
-  double roomUnder(double mark) const;
-  void take(Sub& sub, int rung, bool underWay);
-  void leave(Sub& sub, Outcome outcome, const LoadReport& report);
-  void hear(Sub& sub, MeasurementKind reading, double value);
-  void listed(const std::optional<ListEntry>& told);
+  bool measuredOrDueForProbe() const;
+  bool mayServe(const Subscription& sub) const;
+  void updateGate();
+  void recordFailure();
+  void recordLinkUse(double measuredUse, Micros age);
+  void recordUplinkUse(double measuredUse, Micros age, Node* source);
+  void adjustRungs(Micros measuredAt);
+  void receive(const Message& message) override;
+  void sendCandidate(const CandidateQuery& query);
+  double spareKbUnder(double mark) const;
+  void assign(Subscription& sub, int rung, bool adopted);
+  void release(Subscription& sub, Outcome outcome, const LoadReport& report);
+  void handleMeasurement(Subscription& sub, MeasurementKind kind, double value);
+  void updateListEntry(const std::optional<ListEntry>& entry);
 };
 
+// The ready nodes of one cell, and the recent requests that they could have taken.
 struct Cell {
   std::vector<Node*> nodes;
-  Tally<10> comers{comersSpan};
+  SlidingWindowSum<10> arrivals{arrivalWindow};
 };
 
-struct Desk : Part {
-  explicit Desk(Post& office)
-      : Part(office),
-        linkSum(std::max(meanSpan, office.terms.reportInterval / 2)),
-        linkCount(linkSum),
-        uplinkSum(linkSum),
-        uplinkCount(linkSum),
-        requests(office.terms.retryBudget ? office.terms.retryBudget->window : second),
-        further(office.terms.retryBudget ? office.terms.retryBudget->window : second) {}
-  std::map<SubscriptionId, std::unique_ptr<Sub>> subs;
+// Owns the subscriptions, nodes and racks, and decides where each subscription joins.
+struct Scheduler : Actor {
+  explicit Scheduler(Dispatcher& shared)
+      : Actor(shared),
+        linkUseSum(std::max(minMeanUseWindow, shared.settings.reportInterval / 2)),
+        linkUseCount(linkUseSum),
+        uplinkUseSum(linkUseSum),
+        uplinkUseCount(linkUseSum),
+        requests(shared.settings.retryBudget ? shared.settings.retryBudget->window : second),
+        retries(shared.settings.retryBudget ? shared.settings.retryBudget->window : second) {}
+  std::map<SubscriptionId, std::unique_ptr<Subscription>> subscriptions;
   std::map<NodeId, std::unique_ptr<Node>> nodes;
   std::map<int, std::unique_ptr<Rack>> racks;
   std::map<int, Cell> cells;
-  std::map<std::pair<std::string, int>, int> seats;
-  std::map<std::string, Micros> played;  // titles, when one last began here
-  std::map<std::string, Micros> broken;  // viewers whose subscription broke, until their courtesy ends
-  std::map<int, Tally<10>> partyRate;
-  Tally<10> linkSum, linkCount, uplinkSum, uplinkCount;
-  Tally<20> requests;
-  Tally<20> further;
-
-  Micros now() const { return post.now; }
-  void act(Action action) { post.out->push_back(action); }
-  void read(const Note& note) override;
-  void start(Sub& sub);
-  void place(Sub& sub);
-  void decide(Sub& sub);
-  void join(Sub& sub, const Offer& offer);
-  void ended(Sub& sub, Outcome outcome, bool settled);
-  void giveUp(Sub& sub);
-  bool mayJoin(const Sub& sub);
-  Micros patience(const Sub& sub);
-  int& seatsTaken(const Sub& sub) { return seats[{sub.viewing.title, sub.roomIndex}]; }
+  std::map<std::pair<std::string, int>, int> seatsInUse;  // by title and room type
+  std::map<std::string, Micros> playedTitles;             // when a subscription to the title last started
+  std::map<std::string, Micros> reconnectGraceUntil;      // by viewer whose subscription broke
+  std::map<int, SlidingWindowSum<10>> partyRequests;
+  SlidingWindowSum<10> linkUseSum, linkUseCount, uplinkUseSum, uplinkUseCount;
+  SlidingWindowSum<20> requests;
+  SlidingWindowSum<20> retries;
+
+  Micros now() const { return dispatcher.now; }
+  void emit(Action action) { dispatcher.actions->push_back(action); }
+  void receive(const Message& message) override;
+  void handleRequest(Subscription& sub);
+  void queryCandidates(Subscription& sub);
+  void chooseCandidate(Subscription& sub);
+  void sendJoin(Subscription& sub, const Candidate& candidate);
+  void handleAssignmentEnded(Subscription& sub, Outcome outcome, bool settled);
+  void reject(Subscription& sub);
+  bool mayJoin(const Subscription& sub);
+  Micros joinTimeout(const Subscription& sub);
+  int& seatCount(const Subscription& sub) { return seatsInUse[{sub.info.title, sub.roomIndex}]; }
 };
 
-// ---- rack ----
-
-void Rack::read(const Note& note) {
-  if (const auto* load = std::get_if<UplinkLoad>(&note)) {
-    of(load->node).kb += load->kb;
-    kb += load->kb;
-    moved.add(post.now, load->kb);
-  } else if (const auto* seen = std::get_if<UplinkSeen>(&note)) {
-    gauge = {seen->use, kb - moved.sum(post.now, seen->age), post.now, post.now - seen->age, true};
-    felt = false;
-    return tell(seen->by, seen->use > highMark);
-  } else if (const auto* lack = std::get_if<Shortfall>(&note)) {
-    Held& from = of(lack->node);
-    from.easing = lack->share > from.share;
-    from.share = lack->explained ? 1 : lack->share;
-    from.toldAt = post.now;
-    return tell(nullptr, feel());
+// ---- Rack ----
+
+void Rack::receive(const Message& message) {
+  if (const auto* change = std::get_if<UplinkLoadChanged>(&message)) {
+    attached(change->node).ownKb += change->changeKb;
+    ownKb += change->changeKb;
+    loadChanges.add(dispatcher.now, change->changeKb);
+  } else if (const auto* measured = std::get_if<UplinkMeasured>(&message)) {
+    estimate = {measured->use, ownKb - loadChanges.sum(dispatcher.now, measured->age), dispatcher.now,
+                dispatcher.now - measured->age, true};
+    inferred = false;
+    return publishUse(measured->source, measured->use > highMark);
+  } else if (const auto* delivery = std::get_if<DeliveryMeasured>(&message)) {
+    AttachedNode& reporter = attached(delivery->node);
+    reporter.recovering = delivery->deliveredShare > reporter.deliveredShare;
+    reporter.deliveredShare = delivery->explainedByLink ? 1 : delivery->deliveredShare;
+    reporter.reportedAt = dispatcher.now;
+    return publishUse(nullptr, inferUseFromDelivery());
   }
-  tell(nullptr, false);
+  publishUse(nullptr, false);
 }
 
-void Rack::tell(const Node* by, bool all) {
-  const std::optional<double> told = use();
-  for (Held& held : nodes) post.send(*held.node, UplinkUse{told, all || held.node == by ? gauge.about : 0});
+void Rack::publishUse(const Node* source, bool adjustAll) {
+  const std::optional<double> current = use();
+  for (AttachedNode& attachedNode : nodes)
+    dispatcher.send(
+        *attachedNode.node,
+        UplinkEstimate{current, adjustAll || attachedNode.node == source ? estimate.measuredAt : 0});
 }
 
-// Guards against an uplink that is short where no report tells of uplinks: nodes of one rack deliver short
-// together though none of their links is asked too much. One node alone may just hang.
-bool Rack::feel() {
-  int held = 0, sharing = 0;
-  double sum = 0, least = 1, most = 0;
-  bool easing = false;
-  for (const Held& h : nodes) {
-    if (h.kb <= 0) continue;
-    ++held;
-    if (h.share >= 0.98 || post.now - h.toldAt > 2 * second) continue;
-    ++sharing;
-    easing = easing || h.easing;
-    sum += h.share;
-    least = std::min(least, h.share);
-    most = std::max(most, h.share);
+// Guards against a full uplink where load reports do not contain uplinks: several nodes of the rack deliver
+// short at the same time by about the same share, though none of their links is full. A single node that
+// delivers short may merely hang. Returns whether the inferred use is above the high mark.
+bool Rack::inferUseFromDelivery() {
+  int loadedNodes = 0, shortNodes = 0;
+  double shareSum = 0, minShare = 1, maxShare = 0;
+  bool recovering = false;
+  for (const AttachedNode& attachedNode : nodes) {
+    if (attachedNode.ownKb <= 0) continue;
+    ++loadedNodes;
+    if (attachedNode.deliveredShare >= fullDeliveredShare ||
+        dispatcher.now - attachedNode.reportedAt > 2 * second)
+      continue;
+    ++shortNodes;
+    recovering = recovering || attachedNode.recovering;
+    shareSum += attachedNode.deliveredShare;
+    minShare = std::min(minShare, attachedNode.deliveredShare);
+    maxShare = std::max(maxShare, attachedNode.deliveredShare);
   }
-  if (sharing < 2 || sharing * 2 < held || most - least > 0.15 || easing) return false;
-  const double implied = sharing / sum;
-  if (implied <= use().value_or(0) || (felt && post.now - gauge.readAt < second / 2)) return false;
-  const Micros age = post.terms.seenAfter;
-  gauge = {implied, kb - moved.sum(post.now, age), post.now, post.now - age, true};
-  felt = true;
+  if (shortNodes < 2 || shortNodes * 2 < loadedNodes || maxShare - minShare > maxShareSpread || recovering)
+    return false;
+  const double implied = shortNodes / shareSum;
+  if (implied <= use().value_or(0) || (inferred && dispatcher.now - estimate.receivedAt < second / 2))
+    return false;
+  const Micros age = dispatcher.settings.seenAfter;
+  estimate = {implied, ownKb - loadChanges.sum(dispatcher.now, age), dispatcher.now, dispatcher.now - age,
+              true};
+  inferred = true;
   return implied > highMark;
 }
 
-// ---- media node ----
+// ---- Node ----
 
 double Node::linkUse() const {
-  const double read = link.now(post, kb, capacity(), linkGuess + kb / capacity());
-  return shortNow() && !link.known ? std::max(read, 1 / std::max(0.05, delivered)) : read;
+  const double measured =
+      linkEstimate.current(dispatcher, ownKb, capacityKb(), fallbackLinkUse + ownKb / capacityKb());
+  return deliversShort() && !linkEstimate.known ? std::max(measured, 1 / std::max(0.05, deliveredShare))
+                                                : measured;
 }
 
-void Node::setKb(Sub& sub, double charged) {
-  const double change = charged - sub.kb;
-  kb += change;
-  sub.kb = charged;
-  moved.add(post.now, change);
-  if (rack) post.send(*rack, UplinkLoad{this, change});
+void Node::setCharge(Subscription& sub, double chargeKb) {
+  const double changeKb = chargeKb - sub.chargedKb;
+  ownKb += changeKb;
+  sub.chargedKb = chargeKb;
+  loadChanges.add(dispatcher.now, changeKb);
+  if (rack) dispatcher.send(*rack, UplinkLoadChanged{this, changeKb});
 }
 
-// Guards against pushing a cold node over, all directors together, without talk or memory. Time is cut into
-// turns of one set-up at half the multiple allowed. Few directors take them in order, in the first half of
-// each, so that no two meet. Where a round would outlast the cold time, own requests tell how many come in a
-// turn from all, and by chance one of two goes. Early in a director's life any node may have restarted.
-bool Node::paced(const Ask& ask) {
-  const bool unsure = post.now - post.born < terms().coldTime;
-  if (!cold() && !unsure) return true;
-  // Guards against joins that wait for a connection or a disk and then leave in a heap.
-  if (cold() && awaits()) return false;
-  const double bears = places() * terms().startCapacity * terms().overloadFactor /
-                       static_cast<double>(terms().coldTime);  // set-ups a microsecond
-  const auto turn = std::max<Micros>(1, static_cast<Micros>(2 / bears));
-  if (cold() && turn * terms().directors < terms().coldTime)
-    return post.now / turn % terms().directors == terms().ordinal && post.now % turn < turn / 2 &&
-           post.now - pacedAt >= turn;
-  const double own = (ask.comers - (cold() ? 0 : 1)) * std::min(1.0, drawnOf / ask.sub->viewing.holders);
-  // A young director has counted for as long as it lives: after all restarted, all are young together.
-  const Micros counted = std::clamp<Micros>(post.now - post.born, second, comersSpan);
-  const double likely = own * terms().directors * static_cast<double>(turn) / static_cast<double>(counted);
-  return post.now - pacedAt >= turn && likely * static_cast<double>(post.chance() % 1000) < 1000 * letThrough;
+// Paces the set-ups of a cold node. Guards against directors that overload it together, as they do not
+// coordinate. Time is divided into intervals of one set-up each, at half the rate that the overload factor
+// allows. Where a round of all directors fits into the cold time, each director uses the first half of its
+// own interval, so that no two set-ups overlap. Otherwise a director estimates from its own requests how many
+// set-ups all directors would send in an interval, and lets a request pass at random so that
+// targetSetUpsPerInterval are expected. For a cold time after the start of the director this holds for all
+// nodes, as any of them may have restarted as well.
+bool Node::slowStartAllows(const CandidateQuery& query) {
+  const bool mayHaveRestarted = dispatcher.now - dispatcher.startedAt < settings().coldTime;
+  if (!cold() && !mayHaveRestarted) return true;
+  // Guards against joins that queue up behind a slow connection or disk and then arrive all at once.
+  if (cold() && hasPendingSetUp()) return false;
+  const double setUpsPerMicrosecond = slots() * settings().startCapacity * settings().overloadFactor /
+                                      static_cast<double>(settings().coldTime);
+  const auto interval = std::max<Micros>(1, static_cast<Micros>(2 / setUpsPerMicrosecond));
+  if (cold() && interval * settings().directors < settings().coldTime)
+    return dispatcher.now / interval % settings().directors == settings().ordinal &&
+           dispatcher.now % interval < interval / 2 && dispatcher.now - assignedAt >= interval;
+  const double ownRequests = (query.recentArrivals - (cold() ? 0 : 1)) *
+                             std::min(1.0, drawsPerRequest / query.subscription->info.holders);
+  // A director that started recently has counted requests only since then. Guards against a simultaneous
+  // restart of all directors: divided by the whole window, the arrivals of a crowd would be underestimated.
+  const Micros countedFor = std::clamp<Micros>(dispatcher.now - dispatcher.startedAt, second, arrivalWindow);
+  const double expectedSetUps =
+      ownRequests * settings().directors * static_cast<double>(interval) / static_cast<double>(countedFor);
+  return dispatcher.now - assignedAt >= interval &&
+         expectedSetUps * static_cast<double>(dispatcher.random() % 1000) < 1000 * targetSetUpsPerInterval;
 }
 
-// A node that answers nothing or fails what it gets looks idle and would draw everybody. It is shut while a
-// join there waits longer than set-ups take, after failures, and then takes one trial at a time.
+// Guards against a node that does not answer or fails its joins: it looks idle and would attract all
+// requests. A node is unhealthy while it is ejected after failures and while a join there is pending for
+// longer than a set-up may take. After an ejection it is on trial with one join at a time.
 bool Node::healthy() const {
-  if (post.now < shutUntil) return false;
-  bool waiting = false;
-  for (const Sub* other : subs) {
-    if (other->playing) continue;
-    waiting = true;
-    if (post.now - std::max(other->sent, post.wokeAt) > Post::enough(*other->room)) return false;
+  if (dispatcher.now < ejectedUntil) return false;
+  bool hasPendingJoin = false;
+  for (const Subscription* sub : subscriptions) {
+    if (sub->playing) continue;
+    hasPendingJoin = true;
+    if (dispatcher.now - std::max(sub->joinSentAt, dispatcher.resumedAt) >
+        Dispatcher::maxSetUpTime(*sub->room))
+      return false;
   }
-  return strikes == 0 || !waiting;
+  return ejectionLevel == 0 || !hasPendingJoin;
 }
 
-// Guards against readings that stop for good: a node that was full is not open because nobody speaks of it
-// any more. It is tried by one join, which brings a reading; where it does not, by the next as much later.
-bool Node::spoken() const {
-  return !link.known || link.use <= lowMark || post.now - link.readAt <= post.stands() ||
-         post.now - pacedAt > post.stands();
+// Guards against measurements that stop: a node that was full must not count as open merely because its
+// measurement has expired. It is probed by one join, which brings a new measurement; failing that, by another
+// one after each further measurement lifetime.
+bool Node::measuredOrDueForProbe() const {
+  return !linkEstimate.known || linkEstimate.use <= lowMark ||
+         dispatcher.now - linkEstimate.receivedAt <= dispatcher.measurementLifetime() ||
+         dispatcher.now - assignedAt > dispatcher.measurementLifetime();
 }
 
-bool Node::eligible(const Sub& sub) const {
-  const int cells = std::max(1, terms().cells);
-  const int offset = ((listing.cell - sub.viewing.firstCell) % cells + cells) % cells;
-  if (listing.state != NodeState::ready || offset >= sub.viewing.holders) return false;
-  if (!sub.ran || sub.room->effect != Effect::byKey || sub.room->group == Group::all) return true;
-  return sub.room->group == Group::zone ? listing.zone == sub.ran->listing.zone
-                                        : listing.cell == sub.ran->listing.cell;
+// Whether the node is ready, holds the title and is in the group that an earlier join may bind the
+// subscription to.
+bool Node::mayServe(const Subscription& sub) const {
+  const int cells = std::max(1, settings().cells);
+  const int offset = ((listEntry.cell - sub.info.firstCell) % cells + cells) % cells;
+  if (listEntry.state != NodeState::ready || offset >= sub.info.holders) return false;
+  if (!sub.mayHaveRunNode || sub.room->effect != Effect::byKey || sub.room->group == Group::all) return true;
+  return sub.room->group == Group::zone ? listEntry.zone == sub.mayHaveRunNode->listEntry.zone
+                                        : listEntry.cell == sub.mayHaveRunNode->listEntry.cell;
 }
 
-void Node::gate() {
-  const double u = use();
-  if (closed ? u > lowMark : u < highMark)
-    turningSince = 0;
-  else if (turningSince == 0)
-    turningSince = post.now;
-  if (turningSince == 0 || post.now - turningSince < (closed ? openHold : closeHold)) return;
-  closed = !closed;
-  turningSince = 0;
+// Applies the hysteresis: the gate turns once use has been beyond its mark for the delay.
+void Node::updateGate() {
+  const double currentUse = use();
+  if (gateClosed ? currentUse > lowMark : currentUse < highMark)
+    pastMarkSince = 0;
+  else if (pastMarkSince == 0)
+    pastMarkSince = dispatcher.now;
+  if (pastMarkSince == 0 || dispatcher.now - pastMarkSince < (gateClosed ? openDelay : closeDelay)) return;
+  gateClosed = !gateClosed;
+  pastMarkSince = 0;
 }
 
-void Node::strike() {
-  failures.add(post.now, 1);
-  strikes = std::min(5, strikes + 1);
-  shutUntil = std::max(shutUntil, post.now + (second / 2 << strikes));
+// Ejects the node for 1 s after the first failure, doubled with each further one up to 16 s.
+void Node::recordFailure() {
+  recentFailures.add(dispatcher.now, 1);
+  ejectionLevel = std::min(5, ejectionLevel + 1);
+  ejectedUntil = std::max(ejectedUntil, dispatcher.now + (second / 2 << ejectionLevel));
 }
 
-void Node::readLink(double value, Micros age) {
-  link = {value, kb - moved.sum(post.now, age), post.now, post.now - age, true};
-  post.send(*desk, Read{MeasurementKind::link, value});
+void Node::recordLinkUse(double measuredUse, Micros age) {
+  linkEstimate = {measuredUse, ownKb - loadChanges.sum(dispatcher.now, age), dispatcher.now,
+                  dispatcher.now - age, true};
+  dispatcher.send(*scheduler, UseMeasured{MeasurementKind::link, measuredUse});
 }
 
-void Node::readUplink(double value, Micros age, Node* by) {
+void Node::recordUplinkUse(double measuredUse, Micros age, Node* source) {
   if (rack == nullptr) return;
-  post.send(*rack, UplinkSeen{value, age, by});
-  post.send(*desk, Read{MeasurementKind::uplink, value});
+  dispatcher.send(*rack, UplinkMeasured{measuredUse, age, source});
+  dispatcher.send(*scheduler, UseMeasured{MeasurementKind::uplink, measuredUse});
 }
 
-// Of an uplink a newcomer sees one node's part, since as many may come to each of the others.
-double Node::roomUnder(double mark) const {
-  return std::min((mark - linkUse()) * capacity(),
-                  (mark - rackUse()) * std::max(1.0, terms().rackUplinkKb) / rackPart);
+// The data rate that can be added before the link or the uplink reaches the mark. Of the uplink's spare
+// capacity only a part counts, since newcomers may arrive at the other nodes of the rack at the same time.
+double Node::spareKbUnder(double mark) const {
+  return std::min((mark - linkUse()) * capacityKb(),
+                  (mark - uplinkUse()) * std::max(1.0, settings().rackUplinkKb) / concurrentUplinkArrivals);
 }
 
-void Node::answer(const Ask& ask) {
-  Sub& sub = *ask.sub;
-  linkGuess = ask.linkGuess;
-  uplinkGuess = ask.uplinkGuess;
-  gate();
-  Offer offer{&sub,
-              this,
-              !closed && !(sub.overQuota && use() > idleMark),
-              eligible(sub) && healthy() && spoken() && paced(ask),
-              failures.sum(post.now) == 0,
-              listing.zone == terms().zone,
-              false,
-              use(),
-              sub.room->floor};
-  const double room = std::max(0.0, roomUnder(highMark));
-  const double recent = admitted.sum(post.now);
-  const double share = spareShare * (room + recent) - recent;
-  const int top = std::min({sub.viewing.top, sub.room->top, static_cast<int>(terms().ladderKb.size()) - 1});
-  offer.rung = sub.room->floor;
-  // A newcomer takes more of the share for a rung that gains much by its kB, less for one that gains little.
+void Node::sendCandidate(const CandidateQuery& query) {
+  Subscription& sub = *query.subscription;
+  fallbackLinkUse = query.fallbackLinkUse;
+  fallbackUplinkUse = query.fallbackUplinkUse;
+  updateGate();
+  Candidate candidate{&sub,
+                      this,
+                      !gateClosed && !(sub.overQuota && use() > idleMark),
+                      mayServe(sub) && healthy() && measuredOrDueForProbe() && slowStartAllows(query),
+                      recentFailures.sum(dispatcher.now) == 0,
+                      listEntry.zone == settings().zone,
+                      false,
+                      use(),
+                      sub.room->floor};
+  const double spareKb = std::max(0.0, spareKbUnder(highMark));
+  const double recentKb = admittedKb.sum(dispatcher.now);
+  const double shareKb = spareShare * (spareKb + recentKb) - recentKb;
+  const int top = std::min({sub.info.top, sub.room->top, static_cast<int>(settings().ladderKb.size()) - 1});
+  candidate.rung = sub.room->floor;
+  // A newcomer takes a larger part of the spare share for a rung of high benefit per data rate.
   for (int rung = sub.room->floor + 1; rung <= top; ++rung) {
-    const double weight = post.gainPerKb(*sub.room, static_cast<std::size_t>(rung - 1)) / post.meanGain;
-    if (rate(sub, rung) * (1 + rateSpread) > std::min(room, share * weight)) break;
-    offer.rung = rung;
+    const double weight =
+        dispatcher.benefitPerKb(*sub.room, static_cast<std::size_t>(rung - 1)) / dispatcher.meanBenefitPerKb;
+    if (rateKb(sub, rung) * (1 + rateMargin) > std::min(spareKb, shareKb * weight)) break;
+    candidate.rung = rung;
   }
-  offer.overShare = recent > 0 && rate(sub, offer.rung) > share;
-  post.send(*desk, offer);
+  candidate.exceedsSpareShare = recentKb > 0 && rateKb(sub, candidate.rung) > shareKb;
+  dispatcher.send(*scheduler, candidate);
 }
 
-void Node::take(Sub& sub, int rung, bool underWay) {
-  subs.push_back(&sub);
+void Node::assign(Subscription& sub, int rung, bool adopted) {
+  subscriptions.push_back(&sub);
   sub.rung = rung;
-  setKb(sub, rate(sub, rung));
-  if (underWay) return;
-  admitted.add(post.now, sub.kb);
-  pacedAt = post.now;
+  setCharge(sub, rateKb(sub, rung));
+  if (adopted) return;
+  admittedKb.add(dispatcher.now, sub.chargedKb);
+  assignedAt = dispatcher.now;
 }
 
-void Node::leave(Sub& sub, Outcome outcome, const LoadReport& report) {
-  setKb(sub, 0);
-  std::erase(subs, &sub);
-  if (outcome == Outcome::connectFailed || outcome == Outcome::reset) lostAt = post.now;
+void Node::release(Subscription& sub, Outcome outcome, const LoadReport& report) {
+  setCharge(sub, 0);
+  std::erase(subscriptions, &sub);
+  if (outcome == Outcome::connectFailed || outcome == Outcome::reset) suspectedCrashAt = dispatcher.now;
   if (outcome == Outcome::full) {
-    shutUntil = std::max(shutUntil, post.now + std::min(courtesySpan, fullHold << std::min(3, fulls++)));
-    if (terms().refusalThreshold > 0 && linkUse() < terms().refusalThreshold)
-      readLink(terms().refusalThreshold, 0);
+    ejectedUntil =
+        std::max(ejectedUntil,
+                 dispatcher.now + std::min(reconnectGrace, fullBackoff << std::min(3, consecutiveFull++)));
+    if (settings().refusalThreshold > 0 && linkUse() < settings().refusalThreshold)
+      recordLinkUse(settings().refusalThreshold, 0);
   } else if (outcome != Outcome::ok && outcome != Outcome::cancelled && outcome != Outcome::notSent) {
-    // Guards against requests that no node can use: they would shut one node after the other. An error on a
-    // title that never played says as much of the title.
-    if (outcome != Outcome::error || sub.proven) strike();
+    // Guards against requests that no node can serve: they would eject one node after the other. An error on
+    // a title that has never played may be the fault of the title.
+    if (outcome != Outcome::error || sub.titleHadPlayed) recordFailure();
   }
   if (outcome != Outcome::full && outcome != Outcome::connectFailed && outcome != Outcome::notSent) {
-    sub.ran = this;
-    sub.ranSent = sub.sent;
+    sub.mayHaveRunNode = this;
+    sub.mayHaveRunSentAt = sub.joinSentAt;
   }
-  if (const auto& told = report.linkUse ? report.linkUse : report.linkShare) readLink(*told, reportAge);
-  if (report.uplinkUse) readUplink(*report.uplinkUse, reportAge, nullptr);
-  gate();
+  if (const auto& linkUseReport = report.linkUse ? report.linkUse : report.linkShare)
+    recordLinkUse(*linkUseReport, outcomeReportAge);
+  if (report.uplinkUse) recordUplinkUse(*report.uplinkUse, outcomeReportAge, nullptr);
+  updateGate();
 }
 
-void Node::hear(Sub& sub, MeasurementKind reading, double value) {
-  // Guards against one broken connection that passes for a death: a subscription from before it that is still
-  // heard of, later than notes are late, shows that the process lives and is not cold.
-  if (sub.playing && sub.began < lostAt && post.now - lostAt > terms().seenAfter) lostAt = 0;
-  const Micros age = sub.toldLink ? terms().seenAfter : 0;
-  switch (reading) {
+void Node::handleMeasurement(Subscription& sub, MeasurementKind kind, double value) {
+  // Guards against taking a broken connection for a crash: if a subscription that started before it is still
+  // measured after the delay of reports, the process is alive and not cold.
+  if (sub.playing && sub.startedAt < suspectedCrashAt &&
+      dispatcher.now - suspectedCrashAt > settings().seenAfter)
+    suspectedCrashAt = 0;
+  const Micros age = sub.hasLinkMeasurement ? settings().seenAfter : 0;
+  switch (kind) {
     case MeasurementKind::delivered: {
-      const double before = shortNow() ? delivered : 1;
-      delivered = value;
-      deliveredAt = post.now;
-      if (rack) post.send(*rack, Shortfall{this, value, !unexplained()});
-      feel(before);
+      const double previousShare = deliversShort() ? deliveredShare : 1;
+      deliveredShare = value;
+      deliveredAt = dispatcher.now;
+      if (rack) dispatcher.send(*rack, DeliveryMeasured{this, value, !shortfallUnexplained()});
+      inferLinkUseFromDelivery(previousShare);
       break;
     }
     case MeasurementKind::rung:
-      sub.rung = std::clamp(static_cast<int>(value), 0, static_cast<int>(terms().ladderKb.size()) - 1);
-      setKb(sub, rate(sub, sub.rung));
+      sub.rung = std::clamp(static_cast<int>(value), 0, static_cast<int>(settings().ladderKb.size()) - 1);
+      setCharge(sub, rateKb(sub, sub.rung));
       break;
     case MeasurementKind::link:
-      readLink(value, age);
-      // Steps up by the link alone would overfill an uplink whose note is only a line behind.
-      if (sub.toldLink && !terms().uplinksReported) react(link.about);
-      sub.toldLink = true;
+      recordLinkUse(value, age);
+      // Where an uplink measurement follows, rungs wait for it: raising them by the link alone could overload
+      // the uplink.
+      if (sub.hasLinkMeasurement && !settings().uplinksReported) adjustRungs(linkEstimate.measuredAt);
+      sub.hasLinkMeasurement = true;
       break;
     case MeasurementKind::uplink:
-      readUplink(value, age, this);
+      recordUplinkUse(value, age, this);
       break;
   }
-  gate();
+  updateGate();
 }
 
-// A departure from leaving playing subscriptions alone: once per round of notes, a node over the high mark
-// gives back its own part of the excess and one under the low mark takes up its own part of the room. Every
-// director hears the same note, so each scales only what is its own, by the same factor however many they
-// are, and waits for a note that speaks of a moment after that before it does so again.
-void Node::react(Micros about) {
-  const double u = use();
-  const bool down = u > highMark;
-  if (about <= reactedAt || u <= 0 || (!down && u >= idleMark)) return;
-  reactedAt = post.now;
-  const double mark = down ? aimMark : raiseMark;
-  const double goal = kb * mark / u;
-  std::vector<std::pair<Sub*, int>> plan;
-  double planned = 0;
-  for (Sub* sub : subs) {
-    planned += sub->kb;
-    if (sub->playing && post.now - sub->stepped >= (u > jamMark ? dwell / 2 : dwell))
+// Changes rungs of playing subscriptions once per load report. Above the high mark they are lowered towards
+// stepDownTarget, below the idle mark raised towards stepUpTarget. All directors receive the same
+// measurement, so each scales its own load by the same factor, whatever their number. The next adjustment
+// waits for a measurement made after this one.
+void Node::adjustRungs(Micros measuredAt) {
+  const double currentUse = use();
+  const bool lower = currentUse > highMark;
+  if (measuredAt <= rungsAdjustedAt || currentUse <= 0 || (!lower && currentUse >= idleMark)) return;
+  rungsAdjustedAt = dispatcher.now;
+  const double target = lower ? stepDownTarget : stepUpTarget;
+  const double targetKb = ownKb * target / currentUse;
+  std::vector<std::pair<Subscription*, int>> plan;
+  double plannedKb = 0;
+  for (Subscription* sub : subscriptions) {
+    plannedKb += sub->chargedKb;
+    if (sub->playing &&
+        dispatcher.now - sub->steppedAt >= (currentUse > overloadMark ? stepInterval / 2 : stepInterval))
       plan.emplace_back(sub, sub->rung);
   }
   while (true) {
-    std::pair<Sub*, int>* best = nullptr;
-    double bestGain = 0;
+    std::pair<Subscription*, int>* best = nullptr;
+    double bestBenefit = 0;
     for (auto& entry : plan) {
       auto& [sub, rung] = entry;
-      const int top = std::min(sub->viewing.top, sub->room->top);
-      if (down ? rung <= sub->room->floor : rung >= top) continue;
-      // A step that its subscription will not outlive by enough costs more than it brings.
-      if (!down && sub->viewing.length && rung == sub->rung &&
-          static_cast<double>(sub->began + *sub->viewing.length - post.now) / second *
-                  (terms().rungBenefit[static_cast<std::size_t>(rung) + 1] -
-                   terms().rungBenefit[static_cast<std::size_t>(rung)]) <
-              terms().switchSeconds)
+      const int top = std::min(sub->info.top, sub->room->top);
+      if (lower ? rung <= sub->room->floor : rung >= top) continue;
+      // No step up where the subscription ends before the benefit of the step outweighs the cost of
+      // switching.
+      if (!lower && sub->info.length && rung == sub->rung &&
+          static_cast<double>(sub->startedAt + *sub->info.length - dispatcher.now) / second *
+                  (settings().rungBenefit[static_cast<std::size_t>(rung) + 1] -
+                   settings().rungBenefit[static_cast<std::size_t>(rung)]) <
+              settings().switchSeconds)
         continue;
-      const double gain =
-          (down ? -1 : 1) * post.gainPerKb(*sub->room, static_cast<std::size_t>(down ? rung - 1 : rung));
-      if (best == nullptr || gain > bestGain) best = &entry, bestGain = gain;
+      const double benefit =
+          (lower ? -1 : 1) *
+          dispatcher.benefitPerKb(*sub->room, static_cast<std::size_t>(lower ? rung - 1 : rung));
+      if (best == nullptr || benefit > bestBenefit) best = &entry, bestBenefit = benefit;
     }
     if (best == nullptr) break;
     auto& [sub, rung] = *best;
-    const double change = rate(*sub, rung + (down ? -1 : 1)) - rate(*sub, rung);
-    // In steps of this size; where another would gain more by its kB, likelier the other's to take or to
-    // keep.
-    const double left =
-        (goal - planned) / change * (down ? post.meanGain / -bestGain : bestGain / post.meanGain);
-    // Often more than the node's part, and all nodes of a rack would overdo it alike: the last step is taken
-    // by chance, so that together they come out right.
-    if (left < 1 &&
-        (left * 1000 <= static_cast<double>(post.chance() % 1000) || (!down && change > roomUnder(highMark))))
+    const double changeKb = rateKb(*sub, rung + (lower ? -1 : 1)) - rateKb(*sub, rung);
+    // How many steps of this size fit into the rest, weighted by benefit: a step of more than the mean
+    // benefit per data rate is likelier to be taken up and less likely to be given up, since other directors
+    // may have steps of less benefit to give up, or of more to take.
+    const double remainingSteps =
+        (targetKb - plannedKb) / changeKb *
+        (lower ? dispatcher.meanBenefitPerKb / -bestBenefit : bestBenefit / dispatcher.meanBenefitPerKb);
+    // The last step is often larger than what is left, and all directors and nodes of a rack would overshoot
+    // alike: it is taken with a probability equal to the remaining part, which is right on average.
+    if (remainingSteps < 1 && (remainingSteps * 1000 <= static_cast<double>(dispatcher.random() % 1000) ||
+                               (!lower && changeKb > spareKbUnder(highMark))))
       break;
-    planned += change;
-    rung += down ? -1 : 1;
+    plannedKb += changeKb;
+    rung += lower ? -1 : 1;
   }
-  // The others have heard the same and done alike, as far as can be told from here.
-  if (!down && kb > 0)
-    link.use += std::max(0.0, link.use - link.oursThen / capacity()) * (std::min(planned / kb, mark / u) - 1);
+  // Other directors have received the same measurement: their load is assumed to have grown by the same
+  // factor.
+  if (!lower && ownKb > 0)
+    linkEstimate.use += std::max(0.0, linkEstimate.use - linkEstimate.ownKbThen / capacityKb()) *
+                        (std::min(plannedKb / ownKb, target / currentUse) - 1);
   for (auto& [sub, rung] : plan)
-    if (rung != sub->rung) step(*sub, rung);
+    if (rung != sub->rung) changeRung(*sub, rung);
 }
 
-void Node::step(Sub& sub, int rung) {
+void Node::changeRung(Subscription& sub, int rung) {
   sub.rung = rung;
-  sub.stepped = post.now;
-  setKb(sub, rate(sub, rung));
-  post.out->push_back(SetRung{sub.id, rung});
+  sub.steppedAt = dispatcher.now;
+  setCharge(sub, rateKb(sub, rung));
+  dispatcher.actions->push_back(SetRung{sub.id, rung});
 }
 
-// Guards against reports that stay out or come late: where a link is read as nearly full and delivery is
-// shorter than that explains, the shortage itself is the reading, as the design has it without reports.
-void Node::feel(double before) {
-  const Micros age = terms().seenAfter;
-  if (delivered > 0.97 || delivered < 0.4 || delivered > before) return;
-  if (link.known && linkUse() < 0.9 && post.now - link.about < 2 * terms().reportInterval + age) return;
-  if (1 / delivered <= use()) return;
-  readLink(1 / delivered, age);
-  react(link.about);
+// Guards against load reports that are missing or late: where the link was measured as nearly full, or not
+// recently, and delivery is shorter than its use explains, the shortage itself is taken as a measurement.
+void Node::inferLinkUseFromDelivery(double previousShare) {
+  const Micros age = settings().seenAfter;
+  if (deliveredShare > maxShareToInferFrom || deliveredShare < minShareToInferFrom ||
+      deliveredShare > previousShare)
+    return;
+  if (linkEstimate.known && linkUse() < nearlyFullUse &&
+      dispatcher.now - linkEstimate.measuredAt < 2 * settings().reportInterval + age)
+    return;
+  if (1 / deliveredShare <= use()) return;
+  recordLinkUse(1 / deliveredShare, age);
+  adjustRungs(linkEstimate.measuredAt);
 }
 
-void Node::listed(const std::optional<ListEntry>& told) {
-  if (!told || told->state == NodeState::gone) goneAt = post.now;
-  if (!told) return void(listing.state = NodeState::gone);
-  const Micros before = listing.readyAt;
-  listing = *told;
-  listing.readyAt = std::max(before, told->readyAt);
-  if (listing.readyAt > before && cold()) strikes = 0, shutUntil = 0, link = {};
+void Node::updateListEntry(const std::optional<ListEntry>& entry) {
+  if (!entry || entry->state == NodeState::gone) goneAt = dispatcher.now;
+  if (!entry) return void(listEntry.state = NodeState::gone);
+  const Micros previousReadyAt = listEntry.readyAt;
+  listEntry = *entry;
+  listEntry.readyAt = std::max(previousReadyAt, entry->readyAt);
+  if (listEntry.readyAt > previousReadyAt && cold()) ejectionLevel = 0, ejectedUntil = 0, linkEstimate = {};
 }
 
-void Node::read(const Note& note) {
+void Node::receive(const Message& message) {
   std::visit(
-      [this](const auto& n) {
-        using N = std::decay_t<decltype(n)>;
-        if constexpr (std::is_same_v<N, Ask>) answer(n);
-        if constexpr (std::is_same_v<N, Take>) take(*n.sub, n.rung, n.underWay);
-        if constexpr (std::is_same_v<N, Ended>) leave(*n.sub, n.outcome, n.report);
-        if constexpr (std::is_same_v<N, Hear>) hear(*n.sub, n.reading, n.value);
-        if constexpr (std::is_same_v<N, Listed>) listed(n.entry);
-        if constexpr (std::is_same_v<N, UplinkUse>) {
-          uplink = n.use;
-          if (n.react != 0) react(n.react);
+      [this](const auto& received) {
+        using Type = std::decay_t<decltype(received)>;
+        if constexpr (std::is_same_v<Type, CandidateQuery>) sendCandidate(received);
+        if constexpr (std::is_same_v<Type, Assign>)
+          assign(*received.subscription, received.rung, received.adopted);
+        if constexpr (std::is_same_v<Type, AssignmentEnded>)
+          release(*received.subscription, received.outcome, received.report);
+        if constexpr (std::is_same_v<Type, Measurement>)
+          handleMeasurement(*received.subscription, received.kind, received.value);
+        if constexpr (std::is_same_v<Type, ListEntryUpdated>) updateListEntry(received.entry);
+        if constexpr (std::is_same_v<Type, UplinkEstimate>) {
+          reportedUplinkUse = received.use;
+          if (received.adjustRungsFor != 0) adjustRungs(received.adjustRungsFor);
         }
-        if constexpr (std::is_same_v<N, Play>)
-          fulls = 0, strikes = failures.sum(post.now) > 0 ? std::max(1, strikes - 1) : 0;
+        if constexpr (std::is_same_v<Type, JoinSucceeded>)
+          consecutiveFull = 0,
+          ejectionLevel = recentFailures.sum(dispatcher.now) > 0 ? std::max(1, ejectionLevel - 1) : 0;
       },
-      note);
+      message);
 }
 
-// ---- desk ----
+// ---- Scheduler ----
 
-void Desk::read(const Note& note) {
-  if (const auto* s = std::get_if<Start>(&note)) start(*s->sub);
-  if (const auto* r = std::get_if<Read>(&note)) {
-    const bool link = r->reading == MeasurementKind::link;
-    (link ? linkSum : uplinkSum).add(now(), r->use);
-    (link ? linkCount : uplinkCount).add(now(), 1);
+void Scheduler::receive(const Message& message) {
+  if (const auto* request = std::get_if<RequestReceived>(&message)) handleRequest(*request->subscription);
+  if (const auto* measured = std::get_if<UseMeasured>(&message)) {
+    const bool link = measured->kind == MeasurementKind::link;
+    (link ? linkUseSum : uplinkUseSum).add(now(), measured->use);
+    (link ? linkUseCount : uplinkUseCount).add(now(), 1);
   }
-  if (const auto* o = std::get_if<Ended>(&note)) ended(*o->sub, o->outcome, o->settled);
-  if (const auto* o = std::get_if<Offer>(&note)) {
-    o->sub->offers.push_back(*o);
-    if (o->sub->offers.size() == o->sub->asked) decide(*o->sub);
+  if (const auto* ended = std::get_if<AssignmentEnded>(&message))
+    handleAssignmentEnded(*ended->subscription, ended->outcome, ended->settled);
+  if (const auto* candidate = std::get_if<Candidate>(&message)) {
+    candidate->subscription->candidates.push_back(*candidate);
+    if (candidate->subscription->candidates.size() == candidate->subscription->awaitedCandidates)
+      chooseCandidate(*candidate->subscription);
   }
 }
 
-void Desk::start(Sub& sub) {
+void Scheduler::handleRequest(Subscription& sub) {
   requests.add(now(), 1);
-  // Beyond its tenant's share a request is worth little; directors get uneven parts of a tenant's viewers.
-  if (sub.viewing.party >= 0) {
-    const auto party = static_cast<std::size_t>(sub.viewing.party);
-    Tally<10>& rate = partyRate.try_emplace(sub.viewing.party, quotaSpan).first->second;
-    rate.add(now(), 1);
-    const double even =
-        post.terms.quotaPerSecond[party] / post.terms.directors * static_cast<double>(quotaSpan) / second;
-    // Guards against chance that passes for excess: of hundreds of directors each sees a few of a tenant.
-    sub.overQuota = rate.sum(now()) > quotaLean * even + 2 * std::sqrt(even) + 2;
+  // Requests over their tenant's quota have little benefit. The quota is divided evenly among the directors,
+  // with a tolerance because each receives a different part of a tenant's viewers.
+  if (sub.info.party >= 0) {
+    const auto party = static_cast<std::size_t>(sub.info.party);
+    SlidingWindowSum<10>& recent = partyRequests.try_emplace(sub.info.party, quotaWindow).first->second;
+    recent.add(now(), 1);
+    const double evenPart = dispatcher.settings.quotaPerSecond[party] / dispatcher.settings.directors *
+                            static_cast<double>(quotaWindow) / second;
+    // Guards against taking random variation for excess: each of hundreds of directors receives only a few
+    // requests of a tenant.
+    sub.overQuota = recent.sum(now()) > quotaTolerance * evenPart + 2 * std::sqrt(evenPart) + 2;
   }
-  const auto it = broken.find(sub.viewing.viewer);
-  sub.courtesy = sub.viewing.moved || (it != broken.end() && now() < it->second);
-  if (it != broken.end()) broken.erase(it);
-  place(sub);
+  const auto grace = reconnectGraceUntil.find(sub.info.viewer);
+  sub.hasReconnectGrace = sub.info.moved || (grace != reconnectGraceUntil.end() && now() < grace->second);
+  if (grace != reconnectGraceUntil.end()) reconnectGraceUntil.erase(grace);
+  queryCandidates(sub);
 }
 
-bool Desk::mayJoin(const Sub& sub) {
-  const ControlSettings& terms = post.terms;
-  if (sub.joins >= terms.maxJoins || sub.viewing.deadline - now() < 50'000) return false;
-  if (sub.room->seats > 0 && seatsTaken(sub) >= sub.room->seats) return false;
-  if (sub.joins > 0 && terms.retryBudget &&
-      further.sum(now()) + 1 >
-          terms.retryBudget->minRetries + terms.retryBudget->share * requests.sum(now()) * 0.9)
+// Whether another join is allowed by the limit of joins, the time left, the seats, the retry budget and the
+// effect of the room type.
+bool Scheduler::mayJoin(const Subscription& sub) {
+  const ControlSettings& settings = dispatcher.settings;
+  if (sub.joinsSent >= settings.maxJoins || sub.info.deadline - now() < minTimeToJoin) return false;
+  if (sub.room->seats > 0 && seatCount(sub) >= sub.room->seats) return false;
+  if (sub.joinsSent > 0 && settings.retryBudget &&
+      retries.sum(now()) + 1 > settings.retryBudget->minRetries +
+                                   settings.retryBudget->share * requests.sum(now()) * retryBudgetMargin)
     return false;
-  if (!sub.ran || sub.room->effect == Effect::repeatable) return true;
-  return sub.room->effect == Effect::byKey && now() - sub.ranSent < sub.room->window;
+  if (!sub.mayHaveRunNode || sub.room->effect == Effect::repeatable) return true;
+  return sub.room->effect == Effect::byKey && now() - sub.mayHaveRunSentAt < sub.room->window;
 }
 
-void Desk::place(Sub& sub) {
-  if (!mayJoin(sub)) return giveUp(sub);
-  // What has been read of late tells of those not read: with many directors most holders are strangers.
-  const double links = linkCount.sum(now()), uplinks = uplinkCount.sum(now());
-  Ask ask{&sub, (linkSum.sum(now()) + unreadUse) / (links + 1), uplinkSum.sum(now()) / std::max(1.0, uplinks),
-          0};
-  sub.asked = 0;
-  for (int j = 0; j < sub.viewing.holders; ++j) {
-    Cell& cell = cells[(sub.viewing.firstCell + j) % std::max(1, post.terms.cells)];
-    if (sub.joins == 0) cell.comers.add(now(), 1);
-    ask.comers = cell.comers.sum(now());
-    for (Node* node : cell.nodes) post.send(*node, ask), ++sub.asked;
+// Queries all nodes of the cells that hold the title. The subscription is rejected if there are none.
+void Scheduler::queryCandidates(Subscription& sub) {
+  if (!mayJoin(sub)) return reject(sub);
+  // Recent measurements of any nodes are the fallback for nodes without one: with many directors, each has
+  // measured only a few of the holders.
+  const double links = linkUseCount.sum(now()), uplinks = uplinkUseCount.sum(now());
+  CandidateQuery query{&sub, (linkUseSum.sum(now()) + priorLinkUse) / (links + 1),
+                       uplinkUseSum.sum(now()) / std::max(1.0, uplinks), 0};
+  sub.awaitedCandidates = 0;
+  for (int index = 0; index < sub.info.holders; ++index) {
+    Cell& cell = cells[(sub.info.firstCell + index) % std::max(1, dispatcher.settings.cells)];
+    if (sub.joinsSent == 0) cell.arrivals.add(now(), 1);
+    query.recentArrivals = cell.arrivals.sum(now());
+    for (Node* node : cell.nodes) dispatcher.send(*node, query), ++sub.awaitedCandidates;
   }
-  if (sub.asked == 0) giveUp(sub);
+  if (sub.awaitedCandidates == 0) reject(sub);
 }
 
-void Desk::decide(Sub& sub) {
-  std::vector<Offer> offers = std::move(sub.offers);
-  sub.offers.clear();
-  const auto tried = [&](const Offer& o) {
-    return std::find(sub.tried.begin(), sub.tried.end(), o.node) != sub.tried.end();
+// Draws two of the open candidates at random and joins the one of lower use, or rejects the subscription.
+void Scheduler::chooseCandidate(Subscription& sub) {
+  std::vector<Candidate> candidates = std::move(sub.candidates);
+  sub.candidates.clear();
+  const auto tried = [&](const Candidate& candidate) {
+    return std::find(sub.triedNodes.begin(), sub.triedNodes.end(), candidate.node) != sub.triedNodes.end();
   };
-  std::erase_if(offers, [](const Offer& o) { return !o.fit; });
-  if (std::any_of(offers.begin(), offers.end(), [&](const Offer& o) { return !tried(o); }))
-    std::erase_if(offers, tried);
-  // A set-up that may not be repeated goes where nothing has failed of late: an error there is final.
+  std::erase_if(candidates, [](const Candidate& candidate) { return !candidate.eligible; });
+  if (std::any_of(candidates.begin(), candidates.end(),
+                  [&](const Candidate& candidate) { return !tried(candidate); }))
+    std::erase_if(candidates, tried);
+  // A set-up that must not be repeated avoids nodes with recent failures, since an error would be final.
   if (sub.room->effect == Effect::once &&
-      std::any_of(offers.begin(), offers.end(), [](const Offer& o) { return o.open && o.clean; }))
-    std::erase_if(offers, [](const Offer& o) { return !o.clean; });
-  std::vector<Offer> open;
-  // Same zone first, but not into holders over the idle mark while another zone has some under it: a zone
-  // that lost its directors or gets the crowd would throttle beside idle nodes.
-  for (const double under : {idleMark, 1e9})
-    for (const bool home : {true, false}) {
+      std::any_of(candidates.begin(), candidates.end(),
+                  [](const Candidate& candidate) { return candidate.open && candidate.noRecentFailure; }))
+    std::erase_if(candidates, [](const Candidate& candidate) { return !candidate.noRecentFailure; });
+  std::vector<Candidate> open;
+  // Prefers the director's own zone, but not nodes over the idle mark while another zone has some under it.
+  // Guards against throttling next to idle nodes when one zone receives most requests or has lost its
+  // directors.
+  for (const double maxUse : {idleMark, 1e9})
+    for (const bool sameZone : {true, false}) {
       if (!open.empty()) break;
-      for (const Offer& o : offers)
-        if (o.open && o.use < under && o.home == home) open.push_back(o);
+      for (const Candidate& candidate : candidates)
+        if (candidate.open && candidate.use < maxUse && candidate.sameZone == sameZone)
+          open.push_back(candidate);
     }
-  if (open.empty() && sub.courtesy) open = offers;
-  if (open.empty()) return giveUp(sub);
-  std::swap(open[0], open[post.chance() % open.size()]);
-  Offer best = open[0];
+  if (open.empty() && sub.hasReconnectGrace) open = candidates;
+  if (open.empty()) return reject(sub);
+  std::swap(open[0], open[dispatcher.random() % open.size()]);
+  Candidate best = open[0];
   if (open.size() > 1) {
-    const Offer other = open[1 + post.chance() % (open.size() - 1)];
-    if (std::pair(other.overShare, other.use) < std::pair(best.overShare, best.use)) best = other;
+    const Candidate other = open[1 + dispatcher.random() % (open.size() - 1)];
+    if (std::pair(other.exceedsSpareShare, other.use) < std::pair(best.exceedsSpareShare, best.use))
+      best = other;
   }
-  if (best.overShare && !sub.courtesy) return giveUp(sub);
-  join(sub, best);
+  if (best.exceedsSpareShare && !sub.hasReconnectGrace) return reject(sub);
+  sendJoin(sub, best);
 }
 
-void Desk::join(Sub& sub, const Offer& offer) {
-  if (sub.joins > 0) further.add(now(), 1);
-  ++sub.joins;
-  sub.tried.push_back(offer.node);
-  sub.at = offer.node;
-  sub.sent = now();
-  sub.rung = offer.rung;
-  sub.proven = played.contains(sub.viewing.title);
-  ++seatsTaken(sub);
-  post.send(*offer.node, Take{&sub, offer.rung, false});
-  act(SetRung{sub.id, offer.rung});
-  act(Join{sub.id, offer.node->listing.node, patience(sub)});
+void Scheduler::sendJoin(Subscription& sub, const Candidate& candidate) {
+  if (sub.joinsSent > 0) retries.add(now(), 1);
+  ++sub.joinsSent;
+  sub.triedNodes.push_back(candidate.node);
+  sub.currentNode = candidate.node;
+  sub.joinSentAt = now();
+  sub.rung = candidate.rung;
+  sub.titleHadPlayed = playedTitles.contains(sub.info.title);
+  ++seatCount(sub);
+  dispatcher.send(*candidate.node, Assign{&sub, candidate.rung, false});
+  emit(SetRung{sub.id, candidate.rung});
+  emit(Join{sub.id, candidate.node->listEntry.node, joinTimeout(sub)});
 }
 
-// Leaves time for another join within the join objective, but only where another is allowed.
-Micros Desk::patience(const Sub& sub) {
-  if (sub.room->effect == Effect::once || sub.joins >= post.terms.maxJoins) return 0;
-  const Micros left = sub.viewing.deadline - now();
-  const Micros wait = Post::enough(*sub.room);
-  return left < wait + 300'000 ? 0 : wait;
+// Where another join is allowed, leaves time for it within the join objective. Otherwise 0: the join may last
+// until the client timeout.
+Micros Scheduler::joinTimeout(const Subscription& sub) {
+  if (sub.room->effect == Effect::once || sub.joinsSent >= dispatcher.settings.maxJoins) return 0;
+  const Micros timeLeft = sub.info.deadline - now();
+  const Micros timeout = Dispatcher::maxSetUpTime(*sub.room);
+  return timeLeft < timeout + minSetUpTime ? 0 : timeout;
 }
 
-void Desk::ended(Sub& sub, Outcome outcome, bool settled) {
-  if (--seatsTaken(sub) == 0) seats.erase({sub.viewing.title, sub.roomIndex});
-  sub.at = nullptr;
-  if (sub.playing && outcome != Outcome::ok) broken[sub.viewing.viewer] = now() + courtesySpan;
-  if (settled || sub.answered) return void(subs.erase(sub.id));
-  place(sub);
+void Scheduler::handleAssignmentEnded(Subscription& sub, Outcome outcome, bool settled) {
+  if (--seatCount(sub) == 0) seatsInUse.erase({sub.info.title, sub.roomIndex});
+  sub.currentNode = nullptr;
+  if (sub.playing && outcome != Outcome::ok) reconnectGraceUntil[sub.info.viewer] = now() + reconnectGrace;
+  if (settled || sub.answered) return void(subscriptions.erase(sub.id));
+  queryCandidates(sub);
 }
 
-// The final answer, at once: throttled where the rules let the viewer come again, terminated otherwise.
-void Desk::giveUp(Sub& sub) {
-  const bool mayReturn = !sub.ran || sub.room->effect == Effect::repeatable ||
+// Answers without delay: throttled where the effect of the room type allows the viewer to try again,
+// terminated otherwise.
+void Scheduler::reject(Subscription& sub) {
+  const bool mayReturn = !sub.mayHaveRunNode || sub.room->effect == Effect::repeatable ||
                          (sub.room->effect == Effect::byKey && sub.room->group == Group::all);
   if (mayReturn)
-    act(Throttle{sub.id, post.comeBack.next()});
+    emit(Throttle{sub.id, dispatcher.retryAfterSchedule.next()});
   else
-    act(Terminate{sub.id});
-  subs.erase(sub.id);
+    emit(Terminate{sub.id});
+  subscriptions.erase(sub.id);
 }
 
 }  // namespace
 
-// ---- the door: the one place where ids are looked up ----
+// ---- Control ----
 
-struct Control::Parts {
-  Parts(ControlSettings terms, std::uint64_t seed) : post(std::move(terms), seed), desk(post) {}
-  Post post;
-  Desk desk;
-  Micros askAgainAt = 0;
+// Resolves the ids of events, validates their values and sends messages to the actors concerned.
+struct Control::Impl {
+  Impl(ControlSettings settings, std::uint64_t seed)
+      : dispatcher(std::move(settings), seed), scheduler(dispatcher) {}
+  Dispatcher dispatcher;
+  Scheduler scheduler;
+  Micros listRetryAt = 0;
 
-  Sub* find(SubscriptionId id) {
-    const auto it = desk.subs.find(id);
-    return it == desk.subs.end() ? nullptr : it->second.get();
+  Subscription* findSubscription(SubscriptionId id) {
+    const auto it = scheduler.subscriptions.find(id);
+    return it == scheduler.subscriptions.end() ? nullptr : it->second.get();
   }
-  Node& node(NodeId id) {
-    auto& slot = desk.nodes[id];
-    if (!slot) slot = std::make_unique<Node>(post, desk, id);
-    return *slot;
+  Node& nodeFor(NodeId id) {
+    auto& node = scheduler.nodes[id];
+    if (!node) node = std::make_unique<Node>(dispatcher, scheduler, id);
+    return *node;
   }
-  bool knows(int roomType) const {
-    return roomType >= 0 && static_cast<std::size_t>(roomType) < post.terms.roomTypes.size();
+  bool knowsRoomType(int roomType) const {
+    return roomType >= 0 && static_cast<std::size_t>(roomType) < dispatcher.settings.roomTypes.size();
   }
-  Sub& admit(const SubscriptionInfo& viewing) {
-    auto sub = std::make_unique<Sub>();
-    sub->id = viewing.sub;
-    sub->viewing = viewing;
-    // Each cell once, counted from nought: a node asked twice would be both of the two drawn.
-    const int all = std::max(1, post.terms.cells);
-    sub->viewing.firstCell = (viewing.firstCell % all + all) % all;
-    sub->viewing.holders = std::clamp(viewing.holders, 0, all);
-    if (viewing.party >= static_cast<int>(post.terms.quotaPerSecond.size())) sub->viewing.party = -1;
-    sub->roomIndex = viewing.roomType;
-    sub->room = &post.terms.roomTypes[static_cast<std::size_t>(viewing.roomType)];
-    return *(desk.subs[viewing.sub] = std::move(sub));
+  Subscription& createSubscription(const SubscriptionInfo& info) {
+    auto sub = std::make_unique<Subscription>();
+    sub->id = info.sub;
+    sub->info = info;
+    // Cells are numbered from 0 and each is queried once: otherwise a node could be both of the two
+    // candidates drawn.
+    const int cellCount = std::max(1, dispatcher.settings.cells);
+    sub->info.firstCell = (info.firstCell % cellCount + cellCount) % cellCount;
+    sub->info.holders = std::clamp(info.holders, 0, cellCount);
+    if (info.party >= static_cast<int>(dispatcher.settings.quotaPerSecond.size())) sub->info.party = -1;
+    sub->roomIndex = info.roomType;
+    sub->room = &dispatcher.settings.roomTypes[static_cast<std::size_t>(info.roomType)];
+    return *(scheduler.subscriptions[info.sub] = std::move(sub));
   }
 
-  // Takes with it what the node carries; a machine may be moved.
-  void stand(Node& n, Rack* rack) {
-    if (n.rack == rack) return;
-    if (n.rack != nullptr) {
-      n.rack->kb -= n.rack->of(&n).kb;
-      std::erase_if(n.rack->nodes, [&](const Rack::Held& held) { return held.node == &n; });
+  // Moves the node and its own load to a rack, or detaches it if `rack` is null.
+  void attachToRack(Node& node, Rack* rack) {
+    if (node.rack == rack) return;
+    if (node.rack != nullptr) {
+      node.rack->ownKb -= node.rack->attached(&node).ownKb;
+      std::erase_if(node.rack->nodes,
+                    [&](const Rack::AttachedNode& attached) { return attached.node == &node; });
     }
-    n.rack = rack;
-    n.uplink.reset();
+    node.rack = rack;
+    node.reportedUplinkUse.reset();
     if (rack == nullptr) return;
-    rack->nodes.emplace_back().node = &n;
-    rack->nodes.back().kb = n.kb;
-    rack->kb += n.kb;
+    rack->nodes.emplace_back().node = &node;
+    rack->nodes.back().ownKb = node.ownKb;
+    rack->ownKb += node.ownKb;
   }
-  // Guards against a fleet whose nodes are replaced for weeks: one long gone, with nothing left that speaks
-  // of it, is let go. If its number comes back it is new.
-  void forget() {
-    const Micros before = post.now - std::max(post.terms.coldTime, 2 * courtesySpan);
-    std::vector<Node*> held;
-    for (const auto& [id, sub] : desk.subs) {
-      held.insert(held.end(), sub->tried.begin(), sub->tried.end());
-      held.push_back(sub->ran);
-      held.push_back(sub->at);
+  // Guards against unbounded growth where nodes are replaced for weeks: a node that has been gone for long
+  // and that no subscription refers to is deleted. If its id returns, it counts as a new node.
+  void evictGoneNodes() {
+    const Micros goneBefore = dispatcher.now - std::max(dispatcher.settings.coldTime, 2 * reconnectGrace);
+    std::vector<Node*> referenced;
+    for (const auto& [id, sub] : scheduler.subscriptions) {
+      referenced.insert(referenced.end(), sub->triedNodes.begin(), sub->triedNodes.end());
+      referenced.push_back(sub->mayHaveRunNode);
+      referenced.push_back(sub->currentNode);
     }
-    std::erase_if(desk.nodes, [&](const auto& entry) {
-      Node& n = *entry.second;
-      if (n.listing.state != NodeState::gone || n.goneAt == 0 || n.goneAt > before || !n.subs.empty() ||
-          std::find(held.begin(), held.end(), &n) != held.end())
+    std::erase_if(scheduler.nodes, [&](const auto& entry) {
+      Node& node = *entry.second;
+      if (node.listEntry.state != NodeState::gone || node.goneAt == 0 || node.goneAt > goneBefore ||
+          !node.subscriptions.empty() ||
+          std::find(referenced.begin(), referenced.end(), &node) != referenced.end())
         return false;
-      stand(n, nullptr);
-      if (n.cell != nullptr) std::erase(n.cell->nodes, &n);
+      attachToRack(node, nullptr);
+      if (node.cell != nullptr) std::erase(node.cell->nodes, &node);
       return true;
     });
   }
 
-  void on(const ListUpdate& told) {
-    if (told.kind == ListKind::lost) return void(askAgainAt = post.now + askAgain);
-    forget();
-    if (told.kind != ListKind::changes) {
-      for (auto& [id, n] : desk.nodes) post.send(*n, Listed{});
-      for (auto& [number, cell] : desk.cells) cell.nodes.clear();
+  void on(const ListUpdate& update) {
+    if (update.kind == ListKind::lost) return void(listRetryAt = dispatcher.now + listRetryDelay);
+    evictGoneNodes();
+    if (update.kind != ListKind::changes) {
+      for (auto& [id, node] : scheduler.nodes) dispatcher.send(*node, ListEntryUpdated{});
+      for (auto& [number, cell] : scheduler.cells) cell.nodes.clear();
     }
-    for (const ListEntry& entry : told.entries) {
-      Node& n = node(entry.node);
-      if (n.cell != nullptr) std::erase(n.cell->nodes, &n);
-      n.cell = &desk.cells[entry.cell];
-      if (entry.state == NodeState::ready) n.cell->nodes.push_back(&n);
-      if (post.terms.racks > 0) {
-        auto& rack = desk.racks[entry.cell % post.terms.racks];
-        if (!rack) rack = std::make_unique<Rack>(post);
-        stand(n, rack.get());
+    for (const ListEntry& entry : update.entries) {
+      Node& node = nodeFor(entry.node);
+      if (node.cell != nullptr) std::erase(node.cell->nodes, &node);
+      node.cell = &scheduler.cells[entry.cell];
+      if (entry.state == NodeState::ready) node.cell->nodes.push_back(&node);
+      if (dispatcher.settings.racks > 0) {
+        auto& rack = scheduler.racks[entry.cell % dispatcher.settings.racks];
+        if (!rack) rack = std::make_unique<Rack>(dispatcher);
+        attachToRack(node, rack.get());
       }
-      post.send(n, Listed{entry});
+      dispatcher.send(node, ListEntryUpdated{entry});
     }
-    count(told);
+    updateLinkKbPerSlot(update);
   }
-  // Guards against a list that names a part of the fleet, or nodes on their way out beside those that take
-  // their place: the sum of all links belongs to the most that were ever ready together.
-  void count(const ListUpdate& told) {
-    std::map<NodeId, int> kinds;  // as told now; the nodes themselves hear of it after this
-    for (const ListEntry& entry : told.entries) kinds[entry.node] = entry.kind;
-    double places = 0;
-    for (const auto& [number, cell] : desk.cells)
-      for (const Node* n : cell.nodes) {
-        const auto kind = kinds.find(n->listing.node);
-        places += post.terms.slotsOf(kind == kinds.end() ? n->listing.kind : kind->second);
+  // Guards against lists that name only a part of the fleet, or nodes being replaced next to their
+  // replacements: the stated capacity of all links is divided by the largest number of slots that were ever
+  // ready together.
+  void updateLinkKbPerSlot(const ListUpdate& update) {
+    std::map<NodeId, int> kinds;  // of this update; the nodes receive their entries later
+    for (const ListEntry& entry : update.entries) kinds[entry.node] = entry.kind;
+    double readySlots = 0;
+    for (const auto& [number, cell] : scheduler.cells)
+      for (const Node* node : cell.nodes) {
+        const auto kind = kinds.find(node->listEntry.node);
+        readySlots += dispatcher.settings.slotsOf(kind == kinds.end() ? node->listEntry.kind : kind->second);
       }
-    if (places <= post.mostPlaces) return;
-    post.mostPlaces = places;
-    post.kbPerPlace = post.terms.totalLinkKb / places;
+    if (readySlots <= dispatcher.maxReadySlots) return;
+    dispatcher.maxReadySlots = readySlots;
+    dispatcher.linkKbPerSlot = dispatcher.settings.totalLinkKb / readySlots;
   }
-  void on(const SubscriptionRequested& e) {
-    if (find(e.viewing.sub) != nullptr) return;
-    // Nothing can be known of it, so it may not be told to come again either.
-    if (!knows(e.viewing.roomType)) return desk.act(Terminate{e.viewing.sub});
-    post.send(desk, Start{&admit(e.viewing)});
+  void on(const SubscriptionRequested& event) {
+    if (findSubscription(event.viewing.sub) != nullptr) return;
+    // The effect of an unknown room type is unknown too: a retry might not be allowed.
+    if (!knowsRoomType(event.viewing.roomType)) return scheduler.emit(Terminate{event.viewing.sub});
+    dispatcher.send(scheduler, RequestReceived{&createSubscription(event.viewing)});
   }
-  void on(const SubscriptionAdopted& e) {
-    if (find(e.viewing.sub) != nullptr || !knows(e.viewing.roomType)) return;
-    Sub& sub = admit(e.viewing);
-    sub.playing = sub.answered = sub.toldLink = true;
-    sub.began = post.now;
-    sub.joins = 1;
-    sub.at = &node(e.node);
+  void on(const SubscriptionAdopted& event) {
+    if (findSubscription(event.viewing.sub) != nullptr || !knowsRoomType(event.viewing.roomType)) return;
+    Subscription& sub = createSubscription(event.viewing);
+    sub.playing = sub.answered = sub.hasLinkMeasurement = true;
+    sub.startedAt = dispatcher.now;
+    sub.joinsSent = 1;
+    sub.currentNode = &nodeFor(event.node);
     sub.rung = sub.room->floor;
-    desk.played[sub.viewing.title] = post.now;
-    ++desk.seatsTaken(sub);
-    post.send(*sub.at, Take{&sub, sub.rung, true});
+    scheduler.playedTitles[sub.info.title] = dispatcher.now;
+    ++scheduler.seatCount(sub);
+    dispatcher.send(*sub.currentNode, Assign{&sub, sub.rung, true});
   }
-  void on(const JoinStarted& e) {
-    Sub* sub = find(e.sub);
-    if (sub == nullptr || sub->at == nullptr || e.join != sub->joins - 1) return;
+  void on(const JoinStarted& event) {
+    Subscription* sub = findSubscription(event.sub);
+    if (sub == nullptr || sub->currentNode == nullptr || event.join != sub->joinsSent - 1) return;
     sub->playing = sub->answered = true;
-    sub->began = desk.played[sub->viewing.title] = post.now;
-    post.send(*sub->at, Play{});
+    sub->startedAt = scheduler.playedTitles[sub->info.title] = dispatcher.now;
+    dispatcher.send(*sub->currentNode, JoinSucceeded{});
   }
-  // Guards against numbers that are none: they pass every comparison and poison every sum.
-  static bool sound(double& value) {
+  // Returns false for negative and non-finite values and limits the others to maxMeasuredUse. Guards against
+  // NaN, which makes every comparison false and every sum NaN.
+  static bool sanitize(double& value) {
     if (!std::isfinite(value) || value < 0) return false;
-    value = std::min(value, readMost);
+    value = std::min(value, maxMeasuredUse);
     return true;
   }
-  void on(const MeasurementReported& e) {
-    Sub* sub = find(e.sub);
-    if (sub == nullptr || sub->at == nullptr || sub->at->listing.node != e.node) return;
-    double value = e.value;
-    if (e.reading == MeasurementKind::rung && std::isfinite(value))
-      value = std::clamp(value, 0.0, static_cast<double>(post.terms.ladderKb.size() - 1));
-    else if (!sound(value))
+  void on(const MeasurementReported& event) {
+    Subscription* sub = findSubscription(event.sub);
+    if (sub == nullptr || sub->currentNode == nullptr || sub->currentNode->listEntry.node != event.node)
+      return;
+    double value = event.value;
+    if (event.reading == MeasurementKind::rung && std::isfinite(value))
+      value = std::clamp(value, 0.0, static_cast<double>(dispatcher.settings.ladderKb.size() - 1));
+    else if (!sanitize(value))
       return;
-    post.send(*sub->at, Hear{sub, e.reading, value});
+    dispatcher.send(*sub->currentNode, Measurement{sub, event.reading, value});
   }
-  void on(const JoinEnded& e) {
-    Sub* sub = find(e.sub);
-    if (sub == nullptr || sub->at == nullptr || sub->at->listing.node != e.node || e.join != sub->joins - 1)
+  void on(const JoinEnded& event) {
+    Subscription* sub = findSubscription(event.sub);
+    if (sub == nullptr || sub->currentNode == nullptr || sub->currentNode->listEntry.node != event.node ||
+        event.join != sub->joinsSent - 1)
       return;
-    Ended ended{sub, e.outcome, e.report, e.settled};
-    for (std::optional<double>* told :
+    AssignmentEnded ended{sub, event.outcome, event.report, event.settled};
+    for (std::optional<double>* use :
          {&ended.report.linkShare, &ended.report.linkUse, &ended.report.uplinkUse})
-      if (*told && !sound(**told)) told->reset();
-    post.send(*sub->at, ended);
-    post.send(desk, ended);
+      if (*use && !sanitize(**use)) use->reset();
+    dispatcher.send(*sub->currentNode, ended);
+    dispatcher.send(scheduler, ended);
   }
-  void on(const SubscriptionAbandoned& e) {
-    Sub* sub = find(e.sub);
+  void on(const SubscriptionAbandoned& event) {
+    Subscription* sub = findSubscription(event.sub);
     if (sub == nullptr) return;
     sub->answered = true;
-    if (sub->at == nullptr) return void(desk.subs.erase(sub->id));
-    if (!sub->playing && post.terms.cancelling) desk.act(CancelJoin{sub->id, sub->joins - 1});
+    if (sub->currentNode == nullptr) return void(scheduler.subscriptions.erase(sub->id));
+    if (!sub->playing && dispatcher.settings.cancelling)
+      scheduler.emit(CancelJoin{sub->id, sub->joinsSent - 1});
   }
   void on(const TimerFired&) {
-    std::erase_if(desk.broken, [&](const auto& entry) { return entry.second < post.now; });
-    std::erase_if(desk.played, [&](const auto& entry) { return entry.second + playedSpan < post.now; });
-    desk.act(SetTimer{0, tickSpan});
-    // Not at once: a list out of reach is one service that all directors ask.
-    if (askAgainAt != 0 && post.now >= askAgainAt) {
-      askAgainAt = 0;
-      desk.act(WatchList{});
+    std::erase_if(scheduler.reconnectGraceUntil,
+                  [&](const auto& entry) { return entry.second < dispatcher.now; });
+    std::erase_if(scheduler.playedTitles,
+                  [&](const auto& entry) { return entry.second + playedTitleRetention < dispatcher.now; });
+    scheduler.emit(SetTimer{0, tickInterval});
+    // Delayed, because all directors request the list from the same service.
+    if (listRetryAt != 0 && dispatcher.now >= listRetryAt) {
+      listRetryAt = 0;
+      scheduler.emit(WatchList{});
     }
   }
 };
@@ -1081,47 +1243,49 @@
   return slotsByKind.empty() ? 1 : std::max(1, *std::min_element(slotsByKind.begin(), slotsByKind.end()));
 }
 
-RetryAfterSchedule::RetryAfterSchedule(const ControlSettings& terms)
-    : middle_(terms.retryAfter ? std::min(advised, terms.maxRetryAfter * 2 / 3) : 0),
-      place_(0.618034 * terms.ordinal) {}
+RetryAfterSchedule::RetryAfterSchedule(const ControlSettings& settings)
+    : mean_(settings.retryAfter ? std::min(meanRetryAfter, settings.maxRetryAfter * 2 / 3) : 0),
+      phase_(goldenRatioFraction * settings.ordinal) {}
 
 Micros RetryAfterSchedule::next() {
-  place_ = std::fmod(place_ + 0.618034, 1.0);
-  return middle_ / 2 + static_cast<Micros>(place_ * static_cast<double>(middle_));
+  phase_ = std::fmod(phase_ + goldenRatioFraction, 1.0);
+  return mean_ / 2 + static_cast<Micros>(phase_ * static_cast<double>(mean_));
 }
 
-Control::Control(ControlSettings terms, std::uint64_t seed)
-    : parts_(std::make_unique<Parts>(std::move(terms), seed)) {}
+Control::Control(ControlSettings settings, std::uint64_t seed)
+    : impl_(std::make_unique<Impl>(std::move(settings), seed)) {}
 Control::~Control() = default;
 Control::Control(Control&&) noexcept = default;
 Control& Control::operator=(Control&&) noexcept = default;
 
-// A director that stood still finds all that came meanwhile at once: what is told of nodes and joins holds
-// for every request of the same turn.
-void Control::handle(Micros now, const std::vector<Event>& turn, std::vector<Action>& actions) {
-  Post& post = parts_->post;
-  if (now - post.now > 2 * tickSpan) post.wokeAt = now;
-  post.now = now;
-  post.out = &actions;
-  if (post.born == 0) {
-    post.born = now;
-    actions.push_back(SetTimer{0, tickSpan});
-    if (post.terms.listOnRequest) actions.push_back(WatchList{});
+// After a stall, a director receives all events of that time in one turn: requests are handled last, so that
+// what the other events say of nodes and joins applies to each of them.
+void Control::handle(Micros now, const std::vector<Event>& events, std::vector<Action>& actions) {
+  Dispatcher& dispatcher = impl_->dispatcher;
+  if (now - dispatcher.now > 2 * tickInterval) dispatcher.resumedAt = now;
+  dispatcher.now = now;
+  dispatcher.actions = &actions;
+  if (dispatcher.startedAt == 0) {
+    dispatcher.startedAt = now;
+    actions.push_back(SetTimer{0, tickInterval});
+    if (dispatcher.settings.listOnRequest) actions.push_back(WatchList{});
   }
   std::vector<const SubscriptionRequested*> requests;
-  for (const Event& event : turn) {
+  for (const Event& event : events) {
     if (const auto* request = std::get_if<SubscriptionRequested>(&event)) {
       requests.push_back(request);
       continue;
     }
-    if (const auto* lapsed = std::get_if<SubscriptionAbandoned>(&event))
-      std::erase_if(requests, [&](const SubscriptionRequested* r) { return r->viewing.sub == lapsed->sub; });
-    std::visit([&](const auto& e) { parts_->on(e); }, event);
-    post.run();
+    if (const auto* abandoned = std::get_if<SubscriptionAbandoned>(&event))
+      std::erase_if(requests, [&](const SubscriptionRequested* request) {
+        return request->viewing.sub == abandoned->sub;
+      });
+    std::visit([&](const auto& typedEvent) { impl_->on(typedEvent); }, event);
+    dispatcher.deliverAll();
   }
   for (const SubscriptionRequested* request : requests) {
-    parts_->on(*request);
-    post.run();
+    impl_->on(*request);
+    dispatcher.deliverAll();
   }
 }
 
