--- a/src/control.cpp
+++ b/src/control.cpp
@@ -35,6 +35,7 @@
 
 // Short delivery: the share of its data rate that a subscription receives is below fullDeliveredShare.
 constexpr double fullDeliveredShare = 0.98;
+constexpr double minDeliveredShare = 0.05;  // bounds the use that short delivery implies
 constexpr double maxShareSpread = 0.15;  // nodes behind a full uplink deliver short by about the same share
 constexpr double hangingDeliveredShare = 0.2;  // at or below it the node seems to hang
 constexpr double explainingLinkUse = 0.95;     // at or above it the link itself explains short delivery
@@ -59,6 +60,7 @@
 constexpr Micros reconnectGrace = 30 * second;  // viewers whose subscription broke pass a closed gate
 constexpr Micros fullBackoff = 4 * second;      // doubles while a node stays full, up to reconnectGrace
 constexpr Micros failureWindow = 20 * second;   // in which failures count as recent
+constexpr int maxEjectionLevel = 5;             // bounds the doubling of ejection times
 constexpr double spareShare = 0.5;   // part of a node's spare capacity given to newcomers per second
 constexpr double rateMargin = 0.15;  // titles may exceed the data rate of their rung by this part
 constexpr double concurrentUplinkArrivals = 2;  // newcomers that may meet at one uplink
@@ -281,7 +283,7 @@
   }
   // How long a join may take to start. A longer one leaves too little of the join objective for another join.
   static Micros maxSetUpTime(const RoomType& room) {
-    return std::max<Micros>(300 * millisecond, room.joinObjective / 2);
+    return std::max<Micros>(minSetUpTime, room.joinObjective / 2);
   }
   // How long a measurement stays valid: three report intervals plus the delay of reports.
   Micros measurementLifetime() const {
@@ -562,8 +564,9 @@
 double Node::linkUse() const {
   const double measured =
       linkEstimate.current(dispatcher, ownKb, capacityKb(), fallbackLinkUse + ownKb / capacityKb());
-  return deliversShort() && !linkEstimate.known ? std::max(measured, 1 / std::max(0.05, deliveredShare))
-                                                : measured;
+  return deliversShort() && !linkEstimate.known
+             ? std::max(measured, 1 / std::max(minDeliveredShare, deliveredShare))
+             : measured;
 }
 
 void Node::setCharge(Subscription& sub, double chargeKb) {
@@ -654,7 +657,7 @@
 // Ejects the node for 1 s after the first failure, doubled with each further one up to 16 s.
 void Node::recordFailure() {
   recentFailures.add(dispatcher.now, 1);
-  ejectionLevel = std::min(5, ejectionLevel + 1);
+  ejectionLevel = std::min(maxEjectionLevel, ejectionLevel + 1);
   ejectedUntil = std::max(ejectedUntil, dispatcher.now + (second / 2 << ejectionLevel));
 }
 
