--- a/src/control.cpp
+++ b/src/control.cpp
@@ -233,7 +233,7 @@
 
 struct Dispatcher;
 
-// A unit of state that is changed only by the messages in its mailbox.
+// A participant that reacts to the messages in its mailbox, one at a time.
 struct Actor {
   explicit Actor(Dispatcher& shared) : dispatcher(shared) {}
   virtual ~Actor() = default;
@@ -283,7 +283,7 @@
   }
   // How long a join may take to start. A longer one leaves too little of the join objective for another join.
   static Micros maxSetUpTime(const RoomType& room) {
-    return std::max<Micros>(minSetUpTime, room.joinObjective / 2);
+    return std::max(Micros{minSetUpTime}, room.joinObjective / 2);
   }
   // How long a measurement stays valid: three report intervals plus the delay of reports.
   Micros measurementLifetime() const {
@@ -485,7 +485,7 @@
   SlidingWindowSum<20> retries;
 
   Micros now() const { return dispatcher.now; }
-  void emit(Action action) { dispatcher.actions->push_back(action); }
+  void emit(Action action) { dispatcher.actions->push_back(std::move(action)); }
   void receive(const Message& message) override;
   void handleRequest(Subscription& sub);
   void queryCandidates(Subscription& sub);
--- a/src/control.h
+++ b/src/control.h
@@ -45,7 +45,7 @@
   double rateFactor = 1;  // data rate relative to the ladder
   int floor = 0;          // lowest rung
   int top = 0;            // highest rung
-  int seats = 0;          // joins allowed per title; 0: unlimited
+  int seats = 0;          // joins allowed at the same time per title; 0: unlimited
 };
 
 // Joins after the first of a subscription are allowed up to minRetries plus a share of the requests in the
