--- a/src/control.cpp
+++ b/src/control.cpp
@@ -318,8 +318,9 @@
   Micros measuredAt = 0;
   bool known = false;
 
-  // A measurement that is not renewed decays towards the fallback, as if the link had never been measured.
-  // Each director starts to forget at its own time: otherwise all of them would try a full node at once.
+  // A measurement that is not renewed decays towards the fallback, as if the link had never been measured,
+  // but to below the low mark, so that a closed gate opens in the end. Each director starts to forget at its
+  // own time: otherwise all of them would try a full node at once.
   double current(const Dispatcher& dispatcher, double ownKb, double capacityKb, double fallback,
                  Micros decay = estimateDecay) const {
     const Micros validFor = dispatcher.measurementLifetime() +
--- a/src/control.h
+++ b/src/control.h
@@ -95,10 +95,10 @@
 struct ListEntry {
   NodeId node = 0;
   NodeState state = NodeState::ready;
-  int kind = 0;
-  double weight = 1;
+  int kind = 0;       // index in slotsByKind
+  double weight = 1;  // link capacity in multiples of weightKb
   int cell = 0;
-  Micros readyAt = 0;
+  Micros readyAt = 0;  // when its process became ready; the node is cold for the cold time after it
   std::string zone;
 };
 
@@ -117,10 +117,10 @@
   int party = -1;     // index of the tenant in quotaPerSecond; -1: none
   int firstCell = 0;  // the title is held by this cell and the following ones, as many as holders
   int holders = 0;
-  int top = 0;          // highest rung that the viewer can play
-  Micros deadline = 0;  // when the client timeout ends
-  std::optional<Micros> length;
-  bool moved = false;  // the viewer's subscription broke elsewhere: it has the reconnect grace
+  int top = 0;                   // highest rung that the viewer can play
+  Micros deadline = 0;           // when the client timeout ends
+  std::optional<Micros> length;  // how long it will play, if known
+  bool moved = false;            // the viewer's subscription broke elsewhere: it has the reconnect grace
 };
 
 struct SubscriptionRequested {
