--- a/bench/load.cpp
+++ b/bench/load.cpp
@@ -207,10 +207,10 @@
     ask.room = "clip";
     if (static_cast<double>(next % 100) < paidShare * 100) ask.room = "paid", ask.key = "load:" + ask.key;
     sent[ask.id] = net::monotonicNow();
-    player.channel->sendText(websocket::textOf(ask));
+    player.channel->sendText(websocket::toJson(ask));
   }
   void answered(Player& player, std::string_view text) {
-    const websocket::AnswerMessage answer = websocket::readAnswer(text);
+    const websocket::AnswerMessage answer = websocket::parseAnswer(text);
     if (answer.kind == websocket::AnswerKind::rung || answer.kind == websocket::AnswerKind::ended) return;
     const auto it = sent.find(answer.id);
     if (it == sent.end()) return;
@@ -219,7 +219,7 @@
     ++answers;
     if (answer.kind != websocket::AnswerKind::playing) return;
     ++playing;
-    player.channel->sendText(websocket::textOf(websocket::LeaveMessage{answer.id}));
+    player.channel->sendText(websocket::toJson(websocket::LeaveMessage{answer.id}));
   }
 };
 
--- a/client/grpc/transport.cpp
+++ b/client/grpc/transport.cpp
@@ -26,7 +26,7 @@
   std::unique_ptr<Http2> http;
   std::string director;  // once it has said who it is
   StreamId who = 0;
-  grpc::Reader whoReader{messageMost};
+  grpc::MessageReader whoReader{messageMost};
   bool lost = false;
   std::vector<GrpcLink*> links;  // in the order in which they came
   std::map<StreamId, GrpcLink*> byStream;
@@ -74,11 +74,11 @@
       return;
     }
     wire->byStream[stream] = this;
-    wire->http->send(stream, grpc::framed(grpc::bytesOf(message)));
+    wire->http->send(stream, grpc::lengthPrefixed(grpc::bytesOf(message)));
   }
   void leave() override {
     if (wire == nullptr || stream == 0) return;
-    wire->http->send(stream, grpc::framed(grpc::leaveBytes()));
+    wire->http->send(stream, grpc::lengthPrefixed(grpc::serializeLeave()));
     wire->http->end(stream);
   }
   bool flushed() const override { return wire == nullptr || wire->http->flushed(); }
@@ -92,7 +92,7 @@
   Wire* wire;
   LinkHandler& handler;
   StreamId stream = 0;
-  grpc::Reader reader{messageMost};
+  grpc::MessageReader reader{messageMost};
   bool greeted = false;
   bool refused = false;
   bool over = false;  // its last word has been told
@@ -159,7 +159,7 @@
                                  {":path", std::string(grpc::whoPath)},
                                  {"content-type", "application/grpc"},
                                  {"te", "trailers"}});
-  wire.http->send(wire.who, grpc::framed(""));
+  wire.http->send(wire.who, grpc::lengthPrefixed(""));
   wire.http->end(wire.who);
 }
 
@@ -174,15 +174,15 @@
 
 void Grpc::onHeaders(Http2& http, StreamId stream, const Headers& headers) {
   Wire* wire = wireOf(http);
-  if (wire == nullptr || grpc::valueOf(headers, "grpc-status").empty()) return;
+  if (wire == nullptr || grpc::headerValue(headers, "grpc-status").empty()) return;
   const auto it = wire->byStream.find(stream);
   if (it == wire->byStream.end()) return;
   GrpcLink& link = *it->second;
-  const grpc::Trailers trailers = grpc::readTrailers(headers);
+  const grpc::Trailers trailers = grpc::parseTrailers(headers);
   if (link.over) return;
   // Without a word of the director's own, what became of the ask is not known; an `ended` was told as a
   // message.
-  if (!trailers.ours) return link.lose(false);
+  if (!trailers.fromDirector) return link.lose(false);
   link.over = true;
   if (trailers.answer.kind != session_api::AnswerKind::ended) link.handler.onAnswer(trailers.answer);
 }
@@ -193,7 +193,7 @@
   if (stream == wire->who) {
     wire->whoReader.feed(bytes);
     const auto message = wire->whoReader.next();
-    const auto director = message ? grpc::readWhoReply(*message) : std::nullopt;
+    const auto director = message ? grpc::parseWhoReply(*message) : std::nullopt;
     if (!director) return;
     wire->director = *director;
     return greet(*wire);
@@ -205,7 +205,7 @@
   while (!link.over) {
     const auto message = link.reader.next();
     if (!message) return;
-    const auto answer = grpc::readAnswer(*message);
+    const auto answer = grpc::parseAnswer(*message);
     if (!answer) continue;  // a newer director may say more than this library knows
     // The stream's trailers follow an `ended`; nothing after it matters.
     if (answer->kind == session_api::AnswerKind::ended) link.over = true;
--- a/client/websocket/transport.cpp
+++ b/client/websocket/transport.cpp
@@ -36,9 +36,9 @@
   void ask(const session_api::PlayMessage& message) override {
     session_api::PlayMessage out = message;
     out.id = "a";
-    channel_.sendText(websocket::textOf(out));
+    channel_.sendText(websocket::toJson(out));
   }
-  void leave() override { channel_.sendText(websocket::textOf(session_api::LeaveMessage{"a"})); }
+  void leave() override { channel_.sendText(websocket::toJson(session_api::LeaveMessage{"a"})); }
   bool flushed() const override { return channel_.dead() || channel_.unsent() == 0; }
   void tick(Micros now) { channel_.tick(now); }
 
@@ -47,7 +47,7 @@
   void onText(websocket::Channel&, std::string_view text) override {
     session_api::AnswerMessage answer;
     try {
-      answer = websocket::readAnswer(text);
+      answer = websocket::parseAnswer(text);
     } catch (const websocket::BadMessage&) {
       return;  // a newer director may say more than this library knows
     }
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -37,7 +37,7 @@
 }
 
 int askDirector(const std::string& at, const std::string& method, const std::string& path) {
-  const director::AdminAnswer answer = director::askAdmin(endpointOf(at), method, path);
+  const director::AdminResponse answer = director::sendAdminRequest(endpointOf(at), method, path);
   if (answer.status == 0) return complain(refused, at + ": no director answers there");
   std::fputs(answer.body.c_str(), stdout);
   return answer.status == 200 ? 0 : found;
@@ -273,7 +273,7 @@
         const auto known = baseline::names();
         if (std::find(known.begin(), known.end(), policy) == known.end())
           return complain(wrong, "--policy " + policy + ": expected first-open or random-lowest");
-        start.hooks.decider = [policy](const ControlSettings& terms, std::uint64_t seed) {
+        start.hooks.makeDecider = [policy](const ControlSettings& terms, std::uint64_t seed) {
           return baseline::make(policy, terms, seed);
         };
       }
--- a/src/director/admin.cpp
+++ b/src/director/admin.cpp
@@ -23,7 +23,7 @@
 void Admin::onRequest(evhttp_request* request, void* me) {
   const std::string method = evhttp_request_get_command(request) == EVHTTP_REQ_POST ? "POST" : "GET";
   const char* path = evhttp_uri_get_path(evhttp_request_get_evhttp_uri(request));
-  const AdminAnswer answer = static_cast<Admin*>(me)->serve_(method, path == nullptr ? "" : path);
+  const AdminResponse answer = static_cast<Admin*>(me)->serve_(method, path == nullptr ? "" : path);
   evbuffer* body = evhttp_request_get_output_buffer(request);
   evbuffer_add(body, answer.body.data(), answer.body.size());
   evhttp_add_header(evhttp_request_get_output_headers(request), "Content-Type", answer.type.c_str());
@@ -33,7 +33,7 @@
 namespace {
 struct Pending {
   event_base* base;
-  AdminAnswer answer;
+  AdminResponse answer;
 };
 void onReply(evhttp_request* request, void* user) {
   auto& pending = *static_cast<Pending*>(user);
@@ -47,7 +47,8 @@
 }
 }  // namespace
 
-AdminAnswer askAdmin(const settings::Endpoint& at, const std::string& method, const std::string& path) {
+AdminResponse sendAdminRequest(const settings::Endpoint& at, const std::string& method,
+                               const std::string& path) {
   const net::EventBase base(event_base_new());
   Pending pending{base.get(), {0, "", ""}};
   evhttp_connection* connection =
--- a/src/director/admin.h
+++ b/src/director/admin.h
@@ -11,7 +11,7 @@
 
 namespace lupinsill::director {
 
-struct AdminAnswer {
+struct AdminResponse {
   int status = 200;
   std::string type;
   std::string body;
@@ -19,7 +19,7 @@
 
 class Admin {
  public:
-  using Serve = std::function<AdminAnswer(const std::string& method, const std::string& path)>;
+  using Serve = std::function<AdminResponse(const std::string& method, const std::string& path)>;
   // Throws net::ListenError.
   Admin(event_base* base, const settings::Endpoint& at, Serve serve);
   int port() const { return port_; }
@@ -32,6 +32,7 @@
 };
 
 // One request to a director's admin listener; status 0 where none answers within five seconds.
-AdminAnswer askAdmin(const settings::Endpoint& at, const std::string& method, const std::string& path);
+AdminResponse sendAdminRequest(const settings::Endpoint& at, const std::string& method,
+                               const std::string& path);
 
 }  // namespace lupinsill::director
--- a/src/director/director.cpp
+++ b/src/director/director.cpp
@@ -73,7 +73,7 @@
   void keepList(const std::string& bytes);
   void reload();
   void house();
-  AdminAnswer serve(const std::string& method, const std::string& path);
+  AdminResponse serve(const std::string& method, const std::string& path);
   std::string metrics();
   std::string status();
   std::string nodesShown();
@@ -115,7 +115,7 @@
   std::map<session::JoinId, std::string> joinTitles_;
   std::vector<std::string> turnTitles_;
   std::vector<session::CallId> cuts_;
-  bool cutAt(Step step, session::CallId callId);
+  bool cutAt(FaultPoint step, session::CallId callId);
   prometheus::Registry registry_;
   std::vector<prometheus::Histogram*> answerTimes_;  // by room type and kind of answer
   std::vector<session::Command> orders_;
@@ -145,16 +145,16 @@
   return text;
 }
 
-session::Limits boundsOf(const settings::Deployment& deployment, const Hooks& hooks) {
+session::Limits boundsOf(const settings::Deployment& deployment, const FaultHooks& hooks) {
   session::Limits bounds = deployment.bounds;
   bounds.guardsEnabled = hooks.guardsEnabled;
-  bounds.keysStored = bounds.keysStored && hooks.recorded;
+  bounds.keysStored = bounds.keysStored && hooks.ledgerEnabled;
   return bounds;
 }
 
 std::unique_ptr<session::Decider> deciderOf(const Start& start, const ControlSettings& terms) {
   const std::uint64_t seed = drawnSeed(start.seed);
-  if (start.hooks.decider) return start.hooks.decider(terms, seed);
+  if (start.hooks.makeDecider) return start.hooks.makeDecider(terms, seed);
   return std::make_unique<session::ControlDecider>(terms, seed);
 }
 
@@ -221,7 +221,7 @@
   if (deployment_.ticketKeyFile.empty())
     log(Level::warn, "tickets-unshared", {{"why", "no key-file: a key was drawn for this run alone"}});
 
-  if (!deployment_.ledgerFile.empty() && start.hooks.recorded) openLedger();
+  if (!deployment_.ledgerFile.empty() && start.hooks.ledgerEnabled) openLedger();
 
   // The list of before a restart comes first: it is all there is if the list's source is out of reach.
   try {
@@ -369,9 +369,10 @@
   if (now < front_.due()) return;
   orders_.clear();
   front_.processTurn(now, orders_);
-  if (start_.hooks.tamper) start_.hooks.tamper(now, orders_);
-  if (start_.hooks.at)
-    for (const std::string& title : std::exchange(turnTitles_, {})) start_.hooks.at(Step::askDecided, title);
+  if (start_.hooks.alterCommands) start_.hooks.alterCommands(now, orders_);
+  if (start_.hooks.onFaultPoint)
+    for (const std::string& title : std::exchange(turnTitles_, {}))
+      start_.hooks.onFaultPoint(FaultPoint::requestDecided, title);
   for (const session::Command& order : orders_) carry(order);
   if (store_) store_->write(front_.takeWrites());
 }
@@ -382,10 +383,10 @@
   const Micros now = net::monotonicNow();
   auto read = reception_.translate(callId, ask, desk_.timeLeft(now, callId), membership_, why);
   if (!read) return false;
-  if (start_.hooks.at) {
+  if (start_.hooks.onFaultPoint) {
     titles_[callId] = read->title;
-    if (cutAt(Step::askRead, callId)) return true;
-    if (start_.hooks.at(Step::askRead, read->title) == Fate::refuse) {
+    if (cutAt(FaultPoint::requestRead, callId)) return true;
+    if (start_.hooks.onFaultPoint(FaultPoint::requestRead, read->title) == FaultAction::reject) {
       carry(session::Throttled{callId, 100'000, session::ThrottleReason::busy});
       return true;
     }
@@ -418,16 +419,17 @@
       answerTimes_.push_back(&family.Add({{"answer", answer}, {"room", room}}, bounds));
 }
 
-bool Director::cutAt(Step step, session::CallId callId) {
+bool Director::cutAt(FaultPoint step, session::CallId callId) {
   const auto it = titles_.find(callId);
-  if (it == titles_.end() || start_.hooks.at(step, it->second) != Fate::cut) return false;
+  if (it == titles_.end() || start_.hooks.onFaultPoint(step, it->second) != FaultAction::dropConnection)
+    return false;
   cuts_.push_back(callId);
   return true;
 }
 
 void Director::joinStarted(session::JoinId join) {
   if (const auto it = joinTitles_.find(join); it != joinTitles_.end())
-    start_.hooks.at(Step::joinBegan, it->second);
+    start_.hooks.onFaultPoint(FaultPoint::joinStarted, it->second);
   front_.joinStarted(join);
 }
 
@@ -442,7 +444,7 @@
                                                                         : admission::ReplyKind::error;
   const bool answer = tell == admission::ReplyKind::playing || tell == admission::ReplyKind::throttled ||
                       tell == admission::ReplyKind::terminated;
-  if (start_.hooks.at && answer && cutAt(Step::answerDecided, callId)) return;
+  if (start_.hooks.onFaultPoint && answer && cutAt(FaultPoint::answerDecided, callId)) return;
   const admission::SendMode send = desk_.reply(callId, tell);
   if (send == admission::SendMode::drop) return;
   for (admission::PlayerServer* door : doors_)
@@ -499,9 +501,9 @@
   } else if (const auto* setUp = std::get_if<session::SetUp>(&order)) {
     const fleet::NodeEndpoint* endpoint = membership_.find(setUp->node);
     if (endpoint == nullptr) return front_.joinEnded(setUp->join, Outcome::connectFailed, {}, false);
-    if (start_.hooks.at) {
+    if (start_.hooks.onFaultPoint) {
       joinTitles_[setUp->join] = setUp->title;
-      start_.hooks.at(Step::joinLeaves, setUp->title);
+      start_.hooks.onFaultPoint(FaultPoint::joinSent, setUp->title);
     }
     nodes_.setUp(*setUp, *endpoint, deployment_.roomTypes[static_cast<std::size_t>(setUp->roomType)]);
   } else if (const auto* change = std::get_if<session::ChangeRung>(&order)) {
@@ -596,7 +598,7 @@
 
 // ---- operators ----
 
-AdminAnswer Director::serve(const std::string& method, const std::string& path) {
+AdminResponse Director::serve(const std::string& method, const std::string& path) {
   if (method == "GET" && path == "/metrics") return {200, "text/plain; version=0.0.4", metrics()};
   if (method == "GET" && path == "/status") return {200, "application/json", status()};
   if (method == "GET" && path == "/nodes") return {200, "application/json", nodesShown()};
--- a/src/director/director.h
+++ b/src/director/director.h
@@ -17,23 +17,24 @@
 
 // The steps between an ask and its answer, at which the lab may kill a director, cut a call or (an
 // ask that was read) refuse it.
-enum class Step { askRead, askDecided, joinLeaves, joinBegan, answerDecided };
-enum class Fate { go, cut, refuse };
+enum class FaultPoint { requestRead, requestDecided, joinSent, joinStarted, answerDecided };
+enum class FaultAction { none, dropConnection, reject };
 
 // Where a measurement or the lab's planted faults reach in; empty in service.
-struct Hooks {
-  std::function<std::unique_ptr<session::Decider>(const ControlSettings& terms, std::uint64_t seed)> decider;
-  std::function<void(Micros now, std::vector<session::Command>& orders)> tamper;
-  std::function<Fate(Step step, const std::string& title)> at;
+struct FaultHooks {
+  std::function<std::unique_ptr<session::Decider>(const ControlSettings& terms, std::uint64_t seed)>
+      makeDecider;
+  std::function<void(Micros now, std::vector<session::Command>& orders)> alterCommands;
+  std::function<FaultAction(FaultPoint step, const std::string& title)> onFaultPoint;
   bool guardsEnabled = true;
-  bool recorded = true;  // whether the ledger's store is used
+  bool ledgerEnabled = true;  // whether the ledger's store is used
 };
 
 struct Start {
   std::string settingsFile;
   std::string portsFile;   // where to write the ports taken; empty: nowhere
   std::uint64_t seed = 0;  // 0: drawn
-  Hooks hooks;
+  FaultHooks hooks;
 };
 
 // Runs until stopped by SIGTERM or SIGINT, or until a drain has ended. Returns the exit code.
--- a/src/grpc/calls.cpp
+++ b/src/grpc/calls.cpp
@@ -81,21 +81,22 @@
   const auto at = peers_.find(connection.tag);
   if (at == peers_.end() || at->second.calls.contains(stream)) return;  // trailers of a caller mean nothing
   Peer& peer = at->second;
-  if (!valueOf(headers, "content-type").starts_with("application/grpc"))
+  if (!headerValue(headers, "content-type").starts_with("application/grpc"))
     return connection.respond(stream, {{":status", "415"}}, true);
-  if (valueOf(headers, ":method") != "POST") return connection.respond(stream, {{":status", "405"}}, true);
+  if (headerValue(headers, ":method") != "POST")
+    return connection.respond(stream, {{":status", "405"}}, true);
   Call& call = peer.calls[stream];
-  call.reader = Reader(limits_.messageBytes);
-  const std::string_view path = valueOf(headers, ":path");
-  const std::string_view encoding = valueOf(headers, "grpc-encoding");
+  call.reader = MessageReader(limits_.messageBytes);
+  const std::string_view path = headerValue(headers, ":path");
+  const std::string_view encoding = headerValue(headers, "grpc-encoding");
   if (!encoding.empty() && encoding != "identity") {
     Headers no = trailersOf(Status::unimplemented, "compressed messages are not taken");
     no.emplace_back("grpc-accept-encoding", "identity");
     return finish(connection, stream, no);
   }
   std::optional<Micros> timeout;
-  if (const std::string_view text = valueOf(headers, "grpc-timeout"); !text.empty()) {
-    timeout = timeoutOf(text);
+  if (const std::string_view text = headerValue(headers, "grpc-timeout"); !text.empty()) {
+    timeout = parseTimeout(text);
     if (!timeout) return finish(connection, stream, trailersOf(Status::invalidArgument, "grpc-timeout"));
   }
   if (path == whoPath) {
@@ -139,11 +140,11 @@
   if (good || it == peer->second.calls.end()) return;
   ++statistics_.badWords;
   const session::CallId callId = it->second.callId;
-  const Reader::Fault fault = it->second.reader.fault();
+  const MessageReader::Fault fault = it->second.reader.fault();
   if (callId != 0) endLine(callId);
   finish(connection, stream,
-         fault == Reader::Fault::tooLarge ? trailersOf(Status::resourceExhausted, "message too large")
-         : fault == Reader::Fault::compressed
+         fault == MessageReader::Fault::tooLarge ? trailersOf(Status::resourceExhausted, "message too large")
+         : fault == MessageReader::Fault::compressed
              ? trailersOf(Status::unimplemented, "compressed messages are not taken")
              : trailersOf(Status::internal, "not a gRPC message"));
 }
@@ -162,10 +163,10 @@
     if (call.method == Method::watch) reply(connection, stream, call);
     return;
   }
-  const PlayerWord word = readPlayerWord(message);
-  if (word.kind == PlayerWord::Kind::ask) return asked(connection, stream, call, word);
+  const PlayerMessage word = parsePlayerMessage(message);
+  if (word.kind == PlayerMessage::Kind::ask) return asked(connection, stream, call, word);
   const session::CallId callId = call.callId;
-  if (word.kind == PlayerWord::Kind::bad) {
+  if (word.kind == PlayerMessage::Kind::bad) {
     ++statistics_.badWords;
     endLine(callId);
     return finish(connection, stream, trailersOf(Status::invalidArgument, word.fault));
@@ -177,7 +178,7 @@
   if (heard.abusive) connection.close(NGHTTP2_ENHANCE_YOUR_CALM);
 }
 
-void Calls::asked(Http2& connection, StreamId stream, Call& call, const PlayerWord& word) {
+void Calls::asked(Http2& connection, StreamId stream, Call& call, const PlayerMessage& word) {
   const session::CallId callId = call.callId;
   const admission::InputResult heard =
       desk_.handleInput(net::monotonicNow(), callId, admission::CallInput::request);
@@ -201,7 +202,7 @@
   const auto it = peer->second.calls.find(stream);
   if (it == peer->second.calls.end()) return;
   Call& call = it->second;
-  if (!call.reader.between())
+  if (!call.reader.atMessageBoundary())
     return finish(connection, stream, trailersOf(Status::internal, "a message was cut off"));
   if (call.method == Method::watch && call.asked) return;  // it goes on listening
   if (call.method != Method::play) return reply(connection, stream, call);
@@ -219,18 +220,18 @@
   if (!call.asked) return finish(connection, stream, trailersOf(Status::invalidArgument, "no message"));
   std::string body;
   if (call.method == Method::who) {
-    body = whoReply(director_);
+    body = serializeWhoReply(director_);
   } else {
-    const auto service = readHealthRequest(call.message);
+    const auto service = parseHealthRequest(call.message);
     if (!service)
       return finish(connection, stream, trailersOf(Status::invalidArgument, "not a health request"));
     const Serving serving = servingOf(*service);
     if (call.method == Method::check && serving == Serving::unknownService)
       return finish(connection, stream, trailersOf(Status::notFound, "unknown service"));
-    body = healthReply(serving);
+    body = serializeHealthReply(serving);
   }
   sendHead(connection, stream, call);
-  connection.send(stream, framed(body));
+  connection.send(stream, lengthPrefixed(body));
   if (call.method != Method::watch) finish(connection, stream, trailersOf(Status::ok, ""));
 }
 
@@ -240,8 +241,8 @@
   for (auto& [id, peer] : peers_)
     for (auto& [stream, call] : peer.calls) {
       if (call.method != Method::watch || !call.asked) continue;
-      const auto service = readHealthRequest(call.message);
-      if (service) peer.connection->send(stream, framed(healthReply(servingOf(*service))));
+      const auto service = parseHealthRequest(call.message);
+      if (service) peer.connection->send(stream, lengthPrefixed(serializeHealthReply(servingOf(*service))));
     }
 }
 
@@ -298,7 +299,7 @@
   if (message.kind == session_api::AnswerKind::playing || message.kind == session_api::AnswerKind::rung ||
       message.kind == session_api::AnswerKind::ended) {
     sendHead(connection, stream, peer.calls.at(stream));
-    connection.send(stream, framed(bytesOf(message)));
+    connection.send(stream, lengthPrefixed(bytesOf(message)));
   }
   if (ends) finish(connection, stream, trailersOf(message));
   return true;
--- a/src/grpc/calls.h
+++ b/src/grpc/calls.h
@@ -42,7 +42,7 @@
   struct Call {
     Method method = Method::play;
     session::CallId callId = 0;
-    Reader reader{4096};
+    MessageReader reader{4096};
     bool headSent = false;
     bool asked = false;  // of one-shot calls: its message has come
     std::string message;
@@ -64,7 +64,7 @@
   void onStreamClosed(Http2& connection, StreamId stream, std::uint32_t code) override;
   void onClosed(Http2& connection) override;
   void said(Http2& connection, StreamId stream, Call& call, std::string_view message);
-  void asked(Http2& connection, StreamId stream, Call& call, const PlayerWord& word);
+  void asked(Http2& connection, StreamId stream, Call& call, const PlayerMessage& word);
   void reply(Http2& connection, StreamId stream, Call& call);
   Headers head() const;
   void sendHead(Http2& connection, StreamId stream, Call& call);
--- a/src/grpc/messages.cpp
+++ b/src/grpc/messages.cpp
@@ -72,11 +72,11 @@
 
 }  // namespace
 
-PlayerWord readPlayerWord(std::string_view bytes) {
-  PlayerWord out;
+PlayerMessage parsePlayerMessage(std::string_view bytes) {
+  PlayerMessage out;
   wire::FromPlayer from;
   if (!parse(from, bytes)) return out.fault = "not a message of this service", out;
-  if (from.has_leave()) return out.kind = PlayerWord::Kind::leave, out;
+  if (from.has_leave()) return out.kind = PlayerMessage::Kind::leave, out;
   if (!from.has_ask()) return out.fault = "ask or leave expected", out;
   const wire::Ask& ask = from.ask();
   const auto check = [&](const char* name, const std::string& word, bool needed) {
@@ -94,7 +94,7 @@
   out.ask.timeout = spanOf(ask.timeout_ms());
   out.ask.length = spanOf(ask.length_ms());
   if (ask.has_again_ms()) out.ask.sinceFirstSent = spanOf(ask.again_ms()).value_or(0);
-  if (out.fault.empty()) out.kind = PlayerWord::Kind::ask;
+  if (out.fault.empty()) out.kind = PlayerMessage::Kind::ask;
   return out;
 }
 
@@ -116,7 +116,7 @@
   return from.SerializeAsString();
 }
 
-std::string leaveBytes() {
+std::string serializeLeave() {
   wire::FromPlayer from;
   from.mutable_leave();
   return from.SerializeAsString();
@@ -139,7 +139,7 @@
   return to.SerializeAsString();
 }
 
-std::optional<AnswerMessage> readAnswer(std::string_view bytes) {
+std::optional<AnswerMessage> parseAnswer(std::string_view bytes) {
   wire::ToPlayer to;
   if (!parse(to, bytes)) return std::nullopt;
   AnswerMessage answer;
@@ -162,24 +162,24 @@
   return answer;
 }
 
-std::string whoReply(const std::string& director) {
+std::string serializeWhoReply(const std::string& director) {
   wire::WhoReply reply;
   reply.set_director(director);
   return reply.SerializeAsString();
 }
-std::optional<std::string> readWhoReply(std::string_view bytes) {
+std::optional<std::string> parseWhoReply(std::string_view bytes) {
   wire::WhoReply reply;
   if (!parse(reply, bytes) || reply.director().empty()) return std::nullopt;
   return reply.director();
 }
 
-std::optional<std::string> readHealthRequest(std::string_view bytes) {
+std::optional<std::string> parseHealthRequest(std::string_view bytes) {
   ::grpc::health::v1::HealthCheckRequest request;
   if (!parse(request, bytes)) return std::nullopt;
   return request.service();
 }
 
-std::string healthReply(Serving serving) {
+std::string serializeHealthReply(Serving serving) {
   using Response = ::grpc::health::v1::HealthCheckResponse;
   Response response;
   response.set_status(serving == Serving::yes  ? Response::SERVING
@@ -190,14 +190,14 @@
 
 Headers trailersOf(Status status, std::string_view message) {
   Headers out{{"grpc-status", std::to_string(static_cast<int>(status))}};
-  if (!message.empty()) out.emplace_back("grpc-message", percentEncoded(message));
+  if (!message.empty()) out.emplace_back("grpc-message", percentEncode(message));
   return out;
 }
 
 Headers trailersOf(const AnswerMessage& answer) {
   Headers out = trailersOf(statusOf(answer), answer.reason);
   out.emplace_back("lupinsill-answer", wordOf(answer.kind));
-  out.emplace_back("lupinsill-reason", percentEncoded(answer.reason));
+  out.emplace_back("lupinsill-reason", percentEncode(answer.reason));
   const std::string ms = std::to_string((answer.retryAfter + 999) / 1000);
   if (answer.retryAfter > 0) out.emplace_back("lupinsill-retry-after-ms", ms);
   // Guards against gRPC's own retries of what may have run: a negative pushback forbids them, whatever policy
@@ -209,25 +209,26 @@
   return out;
 }
 
-std::string_view valueOf(const Headers& headers, std::string_view name) {
+std::string_view headerValue(const Headers& headers, std::string_view name) {
   for (const auto& [key, value] : headers)
     if (key == name) return value;
   return {};
 }
 
-Trailers readTrailers(const Headers& headers) {
+Trailers parseTrailers(const Headers& headers) {
   Trailers out;
-  const std::string status(valueOf(headers, "grpc-status"));
+  const std::string status(headerValue(headers, "grpc-status"));
   out.status = status.empty() ? 2 : std::atoi(status.c_str());
-  out.message = percentDecoded(valueOf(headers, "grpc-message"));
-  const std::string_view word = valueOf(headers, "lupinsill-answer");
-  out.ours = !word.empty();
+  out.message = percentDecode(headerValue(headers, "grpc-message"));
+  const std::string_view word = headerValue(headers, "lupinsill-answer");
+  out.fromDirector = !word.empty();
   out.answer.kind = word == "throttled"    ? AnswerKind::throttled
                     : word == "terminated" ? AnswerKind::terminated
                     : word == "ended"      ? AnswerKind::ended
                                            : AnswerKind::error;
-  out.answer.reason = out.ours ? percentDecoded(valueOf(headers, "lupinsill-reason")) : out.message;
-  const std::string ms(valueOf(headers, "lupinsill-retry-after-ms"));
+  out.answer.reason =
+      out.fromDirector ? percentDecode(headerValue(headers, "lupinsill-reason")) : out.message;
+  const std::string ms(headerValue(headers, "lupinsill-retry-after-ms"));
   out.answer.retryAfter =
       std::clamp<Micros>(std::atoll(ms.c_str()), 0, session_api::maxDuration / 1000) * 1000;
   return out;
--- a/src/grpc/messages.h
+++ b/src/grpc/messages.h
@@ -18,26 +18,26 @@
 inline constexpr std::string_view watchPath = "/grpc.health.v1.Health/Watch";
 inline constexpr std::string_view sessionsService = "lupinsill.session.v1.Sessions";
 
-struct PlayerWord {
+struct PlayerMessage {
   enum class Kind { ask, leave, bad } kind = Kind::bad;
   session_api::PlayMessage ask;
   std::string fault;
 };
-PlayerWord readPlayerWord(std::string_view bytes);
+PlayerMessage parsePlayerMessage(std::string_view bytes);
 std::string bytesOf(const session_api::PlayMessage& ask);
-std::string leaveBytes();
+std::string serializeLeave();
 
 // Playing, rung and ended; the other answers are statuses.
 std::string bytesOf(const session_api::AnswerMessage& answer);
-std::optional<session_api::AnswerMessage> readAnswer(std::string_view bytes);
+std::optional<session_api::AnswerMessage> parseAnswer(std::string_view bytes);
 
-std::string whoReply(const std::string& director);
-std::optional<std::string> readWhoReply(std::string_view bytes);
+std::string serializeWhoReply(const std::string& director);
+std::optional<std::string> parseWhoReply(std::string_view bytes);
 
 // Health: the service that is asked after, and the reply.
-std::optional<std::string> readHealthRequest(std::string_view bytes);
+std::optional<std::string> parseHealthRequest(std::string_view bytes);
 enum class Serving { yes, no, unknownService };
-std::string healthReply(Serving serving);
+std::string serializeHealthReply(Serving serving);
 
 // The trailers that carry an answer which ends a call. `throttled` may be tried again by gRPC itself
 // (grpc-retry-pushback-ms says when); the others say that it must not be.
@@ -48,9 +48,9 @@
   int status = 2;
   std::string message;
   session_api::AnswerMessage answer;
-  bool ours = false;
+  bool fromDirector = false;
 };
-Trailers readTrailers(const Headers& headers);
-std::string_view valueOf(const Headers& headers, std::string_view name);
+Trailers parseTrailers(const Headers& headers);
+std::string_view headerValue(const Headers& headers, std::string_view name);
 
 }  // namespace lupinsill::grpc
--- a/src/grpc/wire.cpp
+++ b/src/grpc/wire.cpp
@@ -25,7 +25,7 @@
 }  // namespace
 
 // Guards against a length that is believed: the head alone decides, before a byte of the message is held.
-bool Reader::feed(std::string_view bytes) {
+bool MessageReader::feed(std::string_view bytes) {
   if (fault_ != Fault::none) return false;
   held_ += bytes;
   std::size_t at = 0;
@@ -40,7 +40,7 @@
   return true;
 }
 
-std::optional<std::string> Reader::next() {
+std::optional<std::string> MessageReader::next() {
   if (held_.size() < headSize || fault_ != Fault::none) return std::nullopt;
   const std::size_t size = lengthOf(held_);
   if (held_.size() < headSize + size) return std::nullopt;
@@ -49,14 +49,14 @@
   return message;
 }
 
-std::string framed(std::string_view message) {
+std::string lengthPrefixed(std::string_view message) {
   const auto size = static_cast<std::uint32_t>(message.size());
   std::string out(1, '\0');
   for (int shift = 24; shift >= 0; shift -= 8) out += static_cast<char>(size >> shift & 255);
   return out.append(message);
 }
 
-std::optional<Micros> timeoutOf(std::string_view text) {
+std::optional<Micros> parseTimeout(std::string_view text) {
   if (text.size() < 2 || text.size() > 9) return std::nullopt;
   Micros n = 0;
   for (const char c : text.substr(0, text.size() - 1)) {
@@ -81,14 +81,14 @@
   }
 }
 
-std::string timeoutText(Micros span) {
+std::string formatTimeout(Micros span) {
   span = std::max<Micros>(0, span);
   if (span < 100'000'000) return std::to_string(span) + "u";
   if (span / 1'000 < 100'000'000) return std::to_string(span / 1'000) + "m";
   return std::to_string(std::min<Micros>(99'999'999, span / 1'000'000)) + "S";
 }
 
-std::string percentEncoded(std::string_view message) {
+std::string percentEncode(std::string_view message) {
   static constexpr char digits[] = "0123456789ABCDEF";
   std::string out;
   for (const char c : message) {
@@ -104,7 +104,7 @@
   return out;
 }
 
-std::string percentDecoded(std::string_view message) {
+std::string percentDecode(std::string_view message) {
   std::string out;
   for (std::size_t i = 0; i < message.size(); ++i) {
     if (message[i] == '%' && i + 2 < message.size() && hexOf(message[i + 1]) >= 0 &&
--- a/src/grpc/wire.h
+++ b/src/grpc/wire.h
@@ -29,15 +29,15 @@
 };
 
 // Takes bytes of a stream as they come and gives whole messages.
-class Reader {
+class MessageReader {
  public:
-  explicit Reader(std::size_t most) : most_(most) {}
+  explicit MessageReader(std::size_t most) : most_(most) {}
   enum class Fault { none, tooLarge, compressed, badFlag };
   // False where the bytes cannot be gRPC, or not for us; see fault().
   bool feed(std::string_view bytes);
   std::optional<std::string> next();
   Fault fault() const { return fault_; }
-  bool between() const { return held_.empty(); }  // no part of a message is waiting
+  bool atMessageBoundary() const { return held_.empty(); }  // no part of a message is waiting
 
  private:
   std::size_t most_;
@@ -45,13 +45,13 @@
   Fault fault_ = Fault::none;
 };
 
-std::string framed(std::string_view message);
+std::string lengthPrefixed(std::string_view message);
 
 // "1500m": up to eight digits and one of H M S m u n. None where it is not that.
-std::optional<Micros> timeoutOf(std::string_view text);
-std::string timeoutText(Micros span);
+std::optional<Micros> parseTimeout(std::string_view text);
+std::string formatTimeout(Micros span);
 
-std::string percentEncoded(std::string_view message);
-std::string percentDecoded(std::string_view message);
+std::string percentEncode(std::string_view message);
+std::string percentDecode(std::string_view message);
 
 }  // namespace lupinsill::grpc
--- a/src/history/play.cpp
+++ b/src/history/play.cpp
@@ -63,7 +63,7 @@
     int run = 0;
     bool up = false, stands = false;
     std::string zone;
-    director::Hooks hooks;
+    director::FaultHooks hooks;
     std::unique_ptr<fleet::Membership> list;
     std::unique_ptr<session::Front> front;
     std::unique_ptr<admission::RequestTranslator> reception;
@@ -216,17 +216,18 @@
   terms.ordinal = d.place;
   session::Limits bounds = h_.deployment.bounds;
   bounds.guardsEnabled = d.hooks.guardsEnabled;
-  bounds.keysStored = d.hooks.recorded;
+  bounds.keysStored = d.hooks.ledgerEnabled;
   const std::uint64_t seed = h_.seed * 1000 + static_cast<std::uint64_t>(d.place * 50 + d.run);
-  std::unique_ptr<session::Decider> decider =
-      d.hooks.decider ? d.hooks.decider(terms, seed) : std::make_unique<session::ControlDecider>(terms, seed);
+  std::unique_ptr<session::Decider> decider = d.hooks.makeDecider
+                                                  ? d.hooks.makeDecider(terms, seed)
+                                                  : std::make_unique<session::ControlDecider>(terms, seed);
   d.list = std::make_unique<fleet::Membership>(terms.cells, h_.deployment.leastKept, bounds.grace);
   d.front = std::make_unique<session::Front>(terms, bounds, std::move(decider));
   d.reception = std::make_unique<admission::RequestTranslator>(
       admission::RequestTranslator::Names{"d" + std::to_string(d.place), h_.deployment.roomTypes,
                                           h_.deployment.tenants, h_.deployment.clientTimeouts},
       terms.roomTypes);
-  if (d.hooks.recorded) {
+  if (d.hooks.ledgerEnabled) {
     std::vector<ledger::Record> records;
     for (const auto& [key, record] : d.stored) records.push_back(record);
     d.front->recover(now_, records, true);
@@ -289,9 +290,9 @@
     d.front->listUpdated(std::move(told));
   std::vector<session::Command> orders;
   d.front->processTurn(now_, orders);
-  if (d.hooks.tamper) d.hooks.tamper(now_, orders);
+  if (d.hooks.alterCommands) d.hooks.alterCommands(now_, orders);
   for (const session::Command& order : orders) carry(d, order);
-  if (const auto writes = d.front->takeWrites(); d.hooks.recorded) {
+  if (const auto writes = d.front->takeWrites(); d.hooks.ledgerEnabled) {
     d.unsaved.insert(d.unsaved.end(), writes.begin(), writes.end());
     commit(d);
   }
--- a/src/lab/plant.cpp
+++ b/src/lab/plant.cpp
@@ -97,29 +97,31 @@
   std::map<std::string, int> cuts;
   std::minstd_rand chance{11};
 
-  director::Fate operator()(director::Step step, const std::string& title) {
+  director::FaultAction operator()(director::FaultPoint step, const std::string& title) {
     const std::string plan = title.substr(0, title.find('.'));
-    static const std::map<std::string, director::Step> deaths{
-        {"kill-ask-read", director::Step::askRead},
-        {"kill-ask-decided", director::Step::askDecided},
-        {"kill-join-leaves", director::Step::joinLeaves},
-        {"kill-join-began", director::Step::joinBegan},
-        {"kill-answer-decided", director::Step::answerDecided},
+    static const std::map<std::string, director::FaultPoint> deaths{
+        {"kill-ask-read", director::FaultPoint::requestRead},
+        {"kill-ask-decided", director::FaultPoint::requestDecided},
+        {"kill-join-leaves", director::FaultPoint::joinSent},
+        {"kill-join-began", director::FaultPoint::joinStarted},
+        {"kill-answer-decided", director::FaultPoint::answerDecided},
     };
     if (const auto it = deaths.find(plan); it != deaths.end() && it->second == step) {
       const std::string mark = "died-of-" + title;
-      if (std::filesystem::exists(mark)) return director::Fate::go;
+      if (std::filesystem::exists(mark)) return director::FaultAction::none;
       std::ofstream(mark) << "once\n";
       raise(SIGKILL);
     }
-    if (step == director::Step::askRead && (plan == "all" || (plan == "half" && chance() / 7 % 2 == 0)))
-      return director::Fate::cut;
-    if (step == director::Step::askRead && plan == "refuse") return director::Fate::refuse;
+    if (step == director::FaultPoint::requestRead &&
+        (plan == "all" || (plan == "half" && chance() / 7 % 2 == 0)))
+      return director::FaultAction::dropConnection;
+    if (step == director::FaultPoint::requestRead && plan == "refuse") return director::FaultAction::reject;
     const int most = plan == "lose" || plan == "lose-err" || plan == "unheard" ? 1 : plan == "twice" ? 2 : 0;
-    const auto where = plan == "unheard" ? director::Step::askRead : director::Step::answerDecided;
-    if (most == 0 || step != where || cuts[title] >= most) return director::Fate::go;
+    const auto where =
+        plan == "unheard" ? director::FaultPoint::requestRead : director::FaultPoint::answerDecided;
+    if (most == 0 || step != where || cuts[title] >= most) return director::FaultAction::none;
     ++cuts[title];
-    return director::Fate::cut;
+    return director::FaultAction::dropConnection;
   }
 };
 
@@ -194,26 +196,26 @@
   return nullptr;
 }
 
-director::Hooks hooksOf(const std::string& name) {
+director::FaultHooks hooksOf(const std::string& name) {
   if (name == "titles" || name == "titles-unrecorded") {
-    director::Hooks titled;
-    titled.at = ByTitle();
-    titled.recorded = name == "titles";
+    director::FaultHooks titled;
+    titled.onFaultPoint = ByTitle();
+    titled.ledgerEnabled = name == "titles";
     return titled;
   }
   if (findPlant(name) == nullptr)
     throw std::runtime_error("plant '" + name + "': see `lupinsill lab plants`");
-  director::Hooks hooks;
+  director::FaultHooks hooks;
   if (name == "second-join" || name.starts_with("answer-")) {
-    hooks.tamper = Tamperer(name);
+    hooks.alterCommands = Tamperer(name);
     return hooks;
   }
   if (name == "ledger-unused") {
-    hooks.recorded = false;
+    hooks.ledgerEnabled = false;
     return hooks;
   }
   hooks.guardsEnabled = false;
-  hooks.decider = [name](const ControlSettings& terms, std::uint64_t seed) {
+  hooks.makeDecider = [name](const ControlSettings& terms, std::uint64_t seed) {
     return std::make_unique<Bent>(name, terms, seed);
   };
   return hooks;
--- a/src/lab/plant.h
+++ b/src/lab/plant.h
@@ -19,6 +19,6 @@
 const Plant* findPlant(const std::string& name);
 // Besides plants: "titles", the faults that scripted titles name (src/client_script); "titles-unrecorded",
 // the same without a ledger. Throws std::runtime_error for a name not known.
-director::Hooks hooksOf(const std::string& plant);
+director::FaultHooks hooksOf(const std::string& plant);
 
 }  // namespace lupinsill::lab
--- a/src/lab/players.cpp
+++ b/src/lab/players.cpp
@@ -34,7 +34,7 @@
   audit::AskSeen& record() { return crowd->stage_.record->asks[seen]; }
   void onOpen(websocket::Channel&) override { crowd->ask(*this, comingBack); }
   void onText(websocket::Channel&, std::string_view text) override {
-    crowd->heard(*this, websocket::readAnswer(text));
+    crowd->heard(*this, websocket::parseAnswer(text));
   }
   void onClosed(websocket::Channel&, int) override { crowd->lost(*this); }
   void drop() {
@@ -150,7 +150,7 @@
   if (player.first || !again) player.askedAt = now;
   player.first = false;
   ++tallies_.asks;
-  player.channel->sendText(websocket::textOf(message));
+  player.channel->sendText(websocket::toJson(message));
   player.state = Player::State::asking;
   player.wakeAt = now + seen.timeout + stage_.day->answerSlack + hangAround;
   const bool unsafe = deployment.terms.roomTypes[room].effect != Effect::repeatable;
--- a/src/websocket/channel.cpp
+++ b/src/websocket/channel.cpp
@@ -118,10 +118,11 @@
   std::string head(static_cast<std::size_t>(end.pos) + 4, '\0');
   evbuffer_remove(input, head.data(), head.size());
   if (server_) {
-    const Opening opening = answerOpening(head);
-    if (!opening.good) return refuse(opening.reply);
-    evbuffer_add(bufferevent_get_output(bufferEvent_.get()), opening.reply.data(), opening.reply.size());
-  } else if (!acceptsOpening(head, key_)) {
+    const HandshakeReply opening = answerHandshake(head);
+    if (!opening.accepted) return refuse(opening.response);
+    evbuffer_add(bufferevent_get_output(bufferEvent_.get()), opening.response.data(),
+                 opening.response.size());
+  } else if (!isValidHandshakeReply(head, key_)) {
     return die(head.starts_with("HTTP/1.1 503") ? 1013 : 1002);
   }
   state_ = State::open;
@@ -169,8 +170,8 @@
   if (what & BEV_EVENT_CONNECTED) {
     net::noDelay(bufferevent_getfd(channel.bufferEvent_.get()));
     if (channel.server_) return;  // under TLS, the end of its handshake: the player speaks first
-    channel.key_ = freshKey();
-    channel.sendRaw(openingRequest(channel.host_, channel.key_));
+    channel.key_ = generateKey();
+    channel.sendRaw(handshakeRequest(channel.host_, channel.key_));
     return;
   }
   if (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) {
--- a/src/websocket/handshake.cpp
+++ b/src/websocket/handshake.cpp
@@ -54,7 +54,7 @@
 
 }  // namespace
 
-std::string acceptOf(std::string_view key) {
+std::string acceptKeyFor(std::string_view key) {
   const std::string whole = std::string(key) + "258EAFA5-E914-47DA-95CA-C5AB0DC85B11";
   std::array<unsigned char, EVP_MAX_MD_SIZE> digest{};
   unsigned size = 0;
@@ -62,7 +62,7 @@
   return base64(digest.data(), size);
 }
 
-std::string freshKey() {
+std::string generateKey() {
   std::array<unsigned char, 16> bytes{};
   randombytes_buf(bytes.data(), bytes.size());
   return base64(bytes.data(), bytes.size());
@@ -75,7 +75,7 @@
   return out + "Content-Length: 0\r\nConnection: close\r\n\r\n";
 }
 
-Opening answerOpening(std::string_view head) {
+HandshakeReply answerHandshake(std::string_view head) {
   const std::string_view first = head.substr(0, head.find("\r\n"));
   if (!first.starts_with("GET ") || !first.ends_with(" HTTP/1.1"))
     return {false, refusal(405, "Method Not Allowed", 0)};
@@ -88,17 +88,17 @@
   return {true,
           "HTTP/1.1 101 Switching Protocols\r\nUpgrade: websocket\r\nConnection: Upgrade\r\n"
           "Sec-WebSocket-Accept: " +
-              acceptOf(key) + "\r\nSec-WebSocket-Protocol: " + std::string(subprotocol) + "\r\n\r\n"};
+              acceptKeyFor(key) + "\r\nSec-WebSocket-Protocol: " + std::string(subprotocol) + "\r\n\r\n"};
 }
 
-std::string openingRequest(const std::string& host, const std::string& key) {
+std::string handshakeRequest(const std::string& host, const std::string& key) {
   return "GET /session HTTP/1.1\r\nHost: " + host +
          "\r\nUpgrade: websocket\r\nConnection: Upgrade\r\nSec-WebSocket-Version: 13\r\nSec-WebSocket-Key: " +
          key + "\r\nSec-WebSocket-Protocol: " + std::string(subprotocol) + "\r\n\r\n";
 }
 
-bool acceptsOpening(std::string_view reply, const std::string& key) {
-  return reply.starts_with("HTTP/1.1 101") && headerOf(reply, "sec-websocket-accept") == acceptOf(key);
+bool isValidHandshakeReply(std::string_view reply, const std::string& key) {
+  return reply.starts_with("HTTP/1.1 101") && headerOf(reply, "sec-websocket-accept") == acceptKeyFor(key);
 }
 
 }  // namespace lupinsill::websocket
--- a/src/websocket/messages.cpp
+++ b/src/websocket/messages.cpp
@@ -51,7 +51,7 @@
 
 }  // namespace
 
-PlayerMessage readPlayerMessage(std::string_view text) {
+PlayerMessage parsePlayerMessage(std::string_view text) {
   const Json json = parse(text);
   const std::string type = word(json, "type", true);
   if (type == "leave") return LeaveMessage{word(json, "id", true)};
@@ -71,7 +71,7 @@
   return ask;
 }
 
-std::string textOf(const PlayMessage& ask) {
+std::string toJson(const PlayMessage& ask) {
   Json json{{"type", "ask"},      {"id", ask.id},     {"key", ask.key}, {"viewer", ask.viewer},
             {"title", ask.title}, {"room", ask.room}, {"top", ask.top}};
   if (!ask.tenant.empty()) json["tenant"] = ask.tenant;
@@ -83,9 +83,9 @@
   return json.dump();
 }
 
-std::string textOf(const LeaveMessage& leave) { return Json{{"type", "leave"}, {"id", leave.id}}.dump(); }
+std::string toJson(const LeaveMessage& leave) { return Json{{"type", "leave"}, {"id", leave.id}}.dump(); }
 
-AnswerMessage readAnswer(std::string_view text) {
+AnswerMessage parseAnswer(std::string_view text) {
   const Json json = parse(text);
   AnswerMessage answer;
   const std::string type = word(json, "type", true);
@@ -105,7 +105,7 @@
   return answer;
 }
 
-std::string textOf(const AnswerMessage& answer) {
+std::string toJson(const AnswerMessage& answer) {
   Json json = Json::object();
   if (!answer.id.empty()) json["id"] = answer.id;
   if (!answer.director.empty()) json["director"] = answer.director;
--- a/src/websocket/messages.h
+++ b/src/websocket/messages.h
@@ -23,10 +23,10 @@
 using session_api::PlayMessage;
 using PlayerMessage = std::variant<PlayMessage, LeaveMessage>;
 
-PlayerMessage readPlayerMessage(std::string_view text);
-std::string textOf(const PlayMessage& ask);
-std::string textOf(const LeaveMessage& leave);
-AnswerMessage readAnswer(std::string_view text);
-std::string textOf(const AnswerMessage& answer);
+PlayerMessage parsePlayerMessage(std::string_view text);
+std::string toJson(const PlayMessage& ask);
+std::string toJson(const LeaveMessage& leave);
+AnswerMessage parseAnswer(std::string_view text);
+std::string toJson(const AnswerMessage& answer);
 
 }  // namespace lupinsill::websocket
--- a/src/websocket/players.cpp
+++ b/src/websocket/players.cpp
@@ -43,12 +43,12 @@
   AnswerMessage hello;
   hello.kind = AnswerKind::hello;
   hello.director = director_;
-  channel.sendText(textOf(hello));
+  channel.sendText(toJson(hello));
 }
 
 void Players::onText(Channel& channel, std::string_view text) {
   try {
-    const PlayerMessage message = readPlayerMessage(text);
+    const PlayerMessage message = parsePlayerMessage(text);
     Socket& socket = sockets_.at(channel.tag);
     if (const auto* ask = std::get_if<PlayMessage>(&message)) return asked(channel, socket, *ask);
     const auto it = socket.lines.find(std::get<LeaveMessage>(message).id);
@@ -90,7 +90,7 @@
   message.kind = AnswerKind::error;
   message.id = id;
   message.reason = why;
-  channel.sendText(textOf(message));
+  channel.sendText(toJson(message));
 }
 
 bool Players::send(session::CallId callId, const AnswerMessage& message, bool ends) {
@@ -104,7 +104,7 @@
     lines_.erase(callId);
     socket.lines.erase(at.id);
   }
-  socket.channel->sendText(textOf(out));
+  socket.channel->sendText(toJson(out));
   return true;
 }
 
--- a/tests/director_test.cpp
+++ b/tests/director_test.cpp
@@ -61,7 +61,7 @@
     return got;
   }
   void open() const {
-    send(websocket::openingRequest("x", websocket::freshKey()));
+    send(websocket::handshakeRequest("x", websocket::generateKey()));
     REQUIRE(read([](const std::string& s) { return has(s, "hello"); }).starts_with("HTTP/1.1 101"));
   }
   static std::string frame(const std::string& text, char opcode = '\x81') {
@@ -174,7 +174,7 @@
     std::filesystem::remove_all(folder);
   }
   std::string page(const std::string& path, const char* method = "GET") const {
-    return director::askAdmin({"127.0.0.1", admin}, method, path).body;
+    return director::sendAdminRequest({"127.0.0.1", admin}, method, path).body;
   }
   std::string log() const {
     std::ifstream in(folder + "/log");
--- a/tests/messages_test.cpp
+++ b/tests/messages_test.cpp
@@ -12,7 +12,7 @@
 namespace {
 int codeOf(const std::string& text) {
   try {
-    readPlayerMessage(text);
+    parsePlayerMessage(text);
   } catch (const BadMessage& bad) {
     return bad.code;
   }
@@ -21,22 +21,22 @@
 }  // namespace
 
 TEST_CASE("The handshake is the one RFC 6455 works through, and others are told why not") {
-  CHECK(acceptOf("dGhlIHNhbXBsZSBub25jZQ==") == "s3pPLMBiTxaQ9kYGzzhZRbK+xOo=");
-  const std::string good = openingRequest("host", "dGhlIHNhbXBsZSBub25jZQ==");
-  const Opening opening = answerOpening(good);
-  CHECK(opening.good);
-  CHECK(acceptsOpening(opening.reply, "dGhlIHNhbXBsZSBub25jZQ=="));
-  CHECK_FALSE(acceptsOpening(opening.reply, "AAAAIHNhbXBsZSBub25jZQ=="));
+  CHECK(acceptKeyFor("dGhlIHNhbXBsZSBub25jZQ==") == "s3pPLMBiTxaQ9kYGzzhZRbK+xOo=");
+  const std::string good = handshakeRequest("host", "dGhlIHNhbXBsZSBub25jZQ==");
+  const HandshakeReply opening = answerHandshake(good);
+  CHECK(opening.accepted);
+  CHECK(isValidHandshakeReply(opening.response, "dGhlIHNhbXBsZSBub25jZQ=="));
+  CHECK_FALSE(isValidHandshakeReply(opening.response, "AAAAIHNhbXBsZSBub25jZQ=="));
   std::string old = good;
   old.replace(old.find("Version: 13"), 11, "Version: 8 ");
-  CHECK(answerOpening(old).reply.starts_with("HTTP/1.1 426"));
-  CHECK(answerOpening("POST / HTTP/1.1\r\n\r\n").reply.starts_with("HTTP/1.1 405"));
-  CHECK(answerOpening("GET / HTTP/1.1\r\n\r\n").reply.starts_with("HTTP/1.1 400"));
+  CHECK(answerHandshake(old).response.starts_with("HTTP/1.1 426"));
+  CHECK(answerHandshake("POST / HTTP/1.1\r\n\r\n").response.starts_with("HTTP/1.1 405"));
+  CHECK(answerHandshake("GET / HTTP/1.1\r\n\r\n").response.starts_with("HTTP/1.1 400"));
 }
 
 TEST_CASE("Messages come back as they were") {
   PlayMessage ask{"a1", "key", "viewer", "title", "paid-class", "", 4, 3'000'000, 60'000'000, "front-2"};
-  const auto back = std::get<PlayMessage>(readPlayerMessage(textOf(ask)));
+  const auto back = std::get<PlayMessage>(parsePlayerMessage(toJson(ask)));
   CHECK(back.key == "key");
   CHECK(back.top == 4);
   CHECK(back.previousDirector == "front-2");
@@ -47,7 +47,7 @@
   answer.id = "a1";
   answer.reason = "no-room";
   answer.retryAfter = 500'001;
-  const AnswerMessage heard = readAnswer(textOf(answer));
+  const AnswerMessage heard = parseAnswer(toJson(answer));
   CHECK(heard.kind == AnswerKind::throttled);
   CHECK(heard.retryAfter == 501'000);
 }
