--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -134,12 +134,13 @@
       "Example: lupinsill director --config examples/small.xml\n"
       "Exit codes: 0 done, 1 something was found, 2 wrong command or settings, 3 refused by the machine");
 
-  director::Start start;
+  director::Options directorOptions;
   std::string plant, policy;
   CLI::App* run = app.add_subcommand("director", "Run a director until SIGTERM or the end of a drain");
-  run->add_option("--config", start.settingsFile, "Settings (deploy/lupinsill.xsd)")->required();
-  run->add_option("--ports", start.portsFile, "Write the ports taken to this file");
-  run->add_option("--seed", start.seed, "Seed of the decisions' chance; 0 draws one")->group("Measuring");
+  run->add_option("--config", directorOptions.settingsFile, "Settings (deploy/lupinsill.xsd)")->required();
+  run->add_option("--ports", directorOptions.portsFile, "Write the ports taken to this file");
+  run->add_option("--seed", directorOptions.seed, "Seed of the decisions' chance; 0 draws one")
+      ->group("Measuring");
   run->add_option("--policy", policy, "A baseline in place of the module: first-open, random-lowest")
       ->group("Measuring");
   run->add_option("--plant", plant, "A fault on purpose, for the lab only")->group("Measuring");
@@ -268,16 +269,16 @@
   }
   try {
     if (run->parsed()) {
-      if (!plant.empty()) start.hooks = lab::hooksOf(plant);
+      if (!plant.empty()) directorOptions.hooks = lab::hooksOf(plant);
       if (!policy.empty()) {
         const auto known = baseline::names();
         if (std::find(known.begin(), known.end(), policy) == known.end())
           return complain(wrong, "--policy " + policy + ": expected first-open or random-lowest");
-        start.hooks.makeDecider = [policy](const ControlSettings& terms, std::uint64_t seed) {
+        directorOptions.hooks.makeDecider = [policy](const ControlSettings& terms, std::uint64_t seed) {
           return baseline::make(policy, terms, seed);
         };
       }
-      return director::run(start);
+      return director::run(directorOptions);
     }
     if (platform->parsed()) return platform::run(configuration, platformLog);
     if (check->parsed()) {
--- a/src/director/admin.h
+++ b/src/director/admin.h
@@ -1,6 +1,6 @@
-// The operators' side of a director: HTTP on a listener of its own, meant for loopback. GET /metrics
-// (Prometheus text), /status and /nodes (JSON), POST /drain and /undrain. And the client that the command
-// line uses.
+// The admin interface of a director: an HTTP listener of its own, meant for the loopback interface. It serves
+// GET /metrics (Prometheus text), /status and /nodes (JSON), and POST /drain and /undrain. The client
+// function used by the command line is here as well.
 #pragma once
 
 #include <functional>
@@ -12,27 +12,28 @@
 namespace lupinsill::director {
 
 struct AdminResponse {
-  int status = 200;
-  std::string type;
+  int status = 200;  // HTTP status
+  std::string type;  // Content-Type
   std::string body;
 };
 
+// Listens for admin requests and answers them through the given handler.
 class Admin {
  public:
-  using Serve = std::function<AdminResponse(const std::string& method, const std::string& path)>;
+  using RequestHandler = std::function<AdminResponse(const std::string& method, const std::string& path)>;
   // Throws net::ListenError.
-  Admin(event_base* base, const settings::Endpoint& at, Serve serve);
+  Admin(event_base* base, const settings::Endpoint& endpoint, RequestHandler handler);
   int port() const { return port_; }
 
  private:
-  static void onRequest(evhttp_request* request, void* me);
+  static void onRequest(evhttp_request* request, void* context);
   net::Http http_;
-  Serve serve_;
+  RequestHandler handler_;
   int port_ = 0;
 };
 
-// One request to a director's admin listener; status 0 where none answers within five seconds.
-AdminResponse sendAdminRequest(const settings::Endpoint& at, const std::string& method,
+// Sends one request to a director's admin listener. The status is 0 if there is no answer within 5 s.
+AdminResponse sendAdminRequest(const settings::Endpoint& endpoint, const std::string& method,
                                const std::string& path);
 
 }  // namespace lupinsill::director
--- a/src/director/director.cpp
+++ b/src/director/director.cpp
@@ -31,113 +31,122 @@
 namespace lupinsill::director {
 namespace {
 
-constexpr Micros housekeeping = 50'000;
-constexpr Micros stoodStill = 100'000;  // between two passes of the loop
+constexpr Micros housekeepingInterval = 50'000;
+// A gap above this between two iterations of the event loop counts as a stall.
+constexpr Micros stallThreshold = 100'000;
+// Iterations of the event loop after a stall that read pending input before a decision is made.
 constexpr int catchUpPasses = 16;
-constexpr Micros flushTime = 500'000;  // for last answers at the end
+// Retry time of a request that is rejected by fault injection.
+constexpr Micros injectedRetryAfter = 100'000;
+// Time for sending the last answers before the process exits.
+constexpr Micros shutdownFlushTimeout = 500'000;
 
+// Connects the listeners, the media connections, the node list, the ledger store and the admin listener to
+// the session front, and runs the event loop.
 class Director final : public session_api::Handler, public media::Nodes::Handler {
  public:
-  explicit Director(const Start& start);
+  explicit Director(const Options& options);
   int loop();
 
  private:
-  struct AskedAt {
-    Micros at;
+  struct PendingRequest {
+    Micros receivedAt;
     int roomType;
   };
 
-  bool onRequest(session::CallId callId, const session_api::PlayMessage& ask, std::string& why) override;
-  void onLeave(session::CallId callId) override { front_.leave(callId), asked_.erase(callId); }
-  void onClosed(session::CallId callId) override { front_.closed(callId), asked_.erase(callId); }
+  bool onRequest(session::CallId callId, const session_api::PlayMessage& request,
+                 std::string& reason) override;
+  void onLeave(session::CallId callId) override { front_.leave(callId), pendingRequests_.erase(callId); }
+  void onClosed(session::CallId callId) override { front_.closed(callId), pendingRequests_.erase(callId); }
   bool mayWrite(session::JoinId join) override { return front_.mayWrite(net::monotonicNow(), join); }
   void joinStarted(session::JoinId join) override;
   void joinEnded(session::JoinId join, Outcome outcome, const LoadReport& report, bool finished) override {
     front_.joinEnded(join, outcome, report, finished);
   }
-  void measured(session::JoinId join, MeasurementKind reading, double value) override {
-    front_.measured(join, reading, value);
+  void measured(session::JoinId join, MeasurementKind kind, double value) override {
+    front_.measured(join, kind, value);
   }
   void nodeDrains(NodeId node) override;
 
-  void turn();
-  void carry(const session::Command& order);
-  void say(session::CallId callId, const session_api::AnswerMessage& message);
-  void follow();
+  void runTurn();
+  void execute(const session::Command& command);
+  void sendAnswer(session::CallId callId, const session_api::AnswerMessage& message);
+  void sendDueActions();
   std::size_t sockets() const;
-  enum class Kind { playing, throttled, terminated };
-  static constexpr std::size_t kinds = 3;
-  void answered(session::CallId callId, Kind kind);
-  void makeAnswerTimes();
-  void look(bool first);
-  void keepList(const std::string& bytes);
+  enum class Decision { playing, throttled, terminated };
+  static constexpr std::size_t decisionCount = 3;
+  void recordAnswerTime(session::CallId callId, Decision decision);
+  void createAnswerTimeHistograms();
+  // Reads the node list if its file has changed. `first`: a missing file is logged.
+  void checkNodeList(bool first);
+  void persistNodeList(const std::string& bytes);
   void reload();
-  void house();
-  AdminResponse serve(const std::string& method, const std::string& path);
-  std::string metrics();
-  std::string status();
-  std::string nodesShown();
-  static void onSignal(evutil_socket_t signal, short, void* me);
+  void runHousekeeping();
+  AdminResponse handleAdminRequest(const std::string& method, const std::string& path);
+  std::string metricsText();
+  std::string statusJson();
+  std::string nodesJson();
+  static void onSignal(evutil_socket_t signal, short, void* context);
   static void onWake(evutil_socket_t, short, void*) {}
-  static void onStored(evutil_socket_t fd, short, void* me);
+  static void onStoreCommit(evutil_socket_t fd, short, void* context);
   void openLedger();
 
-  Start start_;
+  Options options_;
   settings::Deployment deployment_;
-  std::string runName_;  // of this run: subscriptions of an earlier one are others
+  std::string runId_;  // prefix of subscription IDs, unique to this run of the process
   ticket::KeyRing ticketKeys_;
   net::EventBase base_;
-  std::unique_ptr<net::Tls> webTls_, grpcTls_, nodesTls_;  // where the settings name files
+  std::unique_ptr<net::Tls> webSocketTls_, grpcTls_, nodesTls_;  // null: plain connections
   fleet::Membership membership_;
   session::Front front_;
   media::Nodes nodes_;
-  admission::RequestTranslator reception_;
-  admission::CallManager desk_;
+  admission::RequestTranslator requestTranslator_;
+  admission::CallManager callManager_;
   std::unique_ptr<websocket::Players> players_;
-  std::unique_ptr<grpc::Calls> calls_;           // where the settings name a place for it
-  std::vector<admission::PlayerServer*> doors_;  // of both, as they are
-  std::vector<admission::DueAction> dues_;
+  std::unique_ptr<grpc::Calls> calls_;                   // null without a gRPC listener
+  std::vector<admission::PlayerServer*> playerServers_;  // players_ and, if present, calls_
+  std::vector<admission::DueAction> dueActions_;
   std::unique_ptr<Admin> admin_;
   net::Event wake_;
-  struct Descriptor {
+  struct FileDescriptor {
     int fd = -1;
-    ~Descriptor() {
+    ~FileDescriptor() {
       if (fd >= 0) close(fd);
     }
-  } stored_;  // told by the store's thread after each commit
-  net::Event storedEvent_;
+  } storeEventFd_;  // signalled by the store's thread after each commit
+  net::Event storeEvent_;
   std::unique_ptr<store::Store> store_;
   std::vector<net::Event> signals_;
-  std::map<session::CallId, AskedAt> asked_;
-  // For the lab's hooks alone: what a step is about, and calls to cut once the loop is out of their
-  // callbacks.
-  std::map<session::CallId, std::string> titles_;
+  std::map<session::CallId, PendingRequest> pendingRequests_;
+  // For fault injection only: titles by call and join, and the calls to drop once the event loop has left
+  // their callbacks.
+  std::map<session::CallId, std::string> requestTitles_;
   std::map<session::JoinId, std::string> joinTitles_;
   std::vector<std::string> turnTitles_;
-  std::vector<session::CallId> cuts_;
-  bool cutAt(FaultPoint step, session::CallId callId);
+  std::vector<session::CallId> callsToDrop_;
+  bool dropConnectionAt(FaultPoint point, session::CallId callId);
   prometheus::Registry registry_;
-  std::vector<prometheus::Histogram*> answerTimes_;  // by room type and kind of answer
-  std::vector<session::Command> orders_;
-  Micros housedAt_ = 0;
-  Micros lookedAt_ = 0;
-  Micros stopAt_ = 0;  // when to leave, once everything was told
+  std::vector<prometheus::Histogram*> answerTimes_;  // by room type and decision
+  std::vector<session::Command> commands_;
+  Micros lastHousekeeping_ = 0;
+  Micros lastListCheck_ = 0;
+  Micros exitDeadline_ = 0;  // 0: not shutting down
   bool stopping_ = false;
-  bool drainingOut_ = false;
+  bool draining_ = false;
   struct stat listStat_ {};
-  std::string listComplaint_;
-  std::uint64_t listRefused_ = 0;
-  std::uint64_t listApplied_ = 0;
+  std::string listError_;
+  std::uint64_t listsRejected_ = 0;
+  std::uint64_t listsApplied_ = 0;
   Micros startedAt_ = 0;
 };
 
-std::uint64_t drawnSeed(std::uint64_t given) {
+std::uint64_t seedOrRandom(std::uint64_t given) {
   std::uint64_t seed = given;
   if (seed == 0) randombytes_buf(&seed, sizeof seed);
   return seed;
 }
 
-std::string runToken() {
+std::string randomRunToken() {
   std::uint32_t token = 0;
   randombytes_buf(&token, sizeof token);
   char text[9];
@@ -145,120 +154,125 @@
   return text;
 }
 
-session::Limits boundsOf(const settings::Deployment& deployment, const FaultHooks& hooks) {
-  session::Limits bounds = deployment.bounds;
-  bounds.guardsEnabled = hooks.guardsEnabled;
-  bounds.keysStored = bounds.keysStored && hooks.ledgerEnabled;
-  return bounds;
+session::Limits sessionLimits(const settings::Deployment& deployment, const FaultHooks& hooks) {
+  session::Limits limits = deployment.bounds;
+  limits.guardsEnabled = hooks.guardsEnabled;
+  limits.keysStored = limits.keysStored && hooks.ledgerEnabled;
+  return limits;
 }
 
-std::unique_ptr<session::Decider> deciderOf(const Start& start, const ControlSettings& terms) {
-  const std::uint64_t seed = drawnSeed(start.seed);
-  if (start.hooks.makeDecider) return start.hooks.makeDecider(terms, seed);
-  return std::make_unique<session::ControlDecider>(terms, seed);
+std::unique_ptr<session::Decider> makeDecider(const Options& options, const ControlSettings& settings) {
+  const std::uint64_t seed = seedOrRandom(options.seed);
+  if (options.hooks.makeDecider) return options.hooks.makeDecider(settings, seed);
+  return std::make_unique<session::ControlDecider>(settings, seed);
 }
 
-std::unique_ptr<net::Tls> tlsOf(net::Tls::Side side, const net::TlsFiles& files, const char* protocol) {
+std::unique_ptr<net::Tls> makeTls(net::Tls::Side side, const net::TlsFiles& files, const char* protocol) {
   return files.empty() ? nullptr : std::make_unique<net::Tls>(side, files, protocol);
 }
 
-net::Accept acceptOf(const net::Tls* tls) {
+net::Accept acceptFunction(const net::Tls* tls) {
   if (tls == nullptr) return net::acceptPlain;
   return [tls](event_base* base, evutil_socket_t fd) { return tls->accept(base, fd); };
 }
 
-net::Connect connectOf(const net::Tls* tls) {
+net::Connect connectFunction(const net::Tls* tls) {
   if (tls == nullptr) return net::connectTo;
   return
       [tls](event_base* base, const std::string& host, int port) { return tls->connect(base, host, port); };
 }
 
-admission::Limits deskBounds(const settings::Deployment& deployment) {
-  admission::Limits bounds;
-  bounds.peers = static_cast<std::size_t>(deployment.sockets.connections);
-  bounds.maxCallsPerPeer = static_cast<std::size_t>(deployment.sockets.asksPerSocket);
-  bounds.requestTimeout = deployment.sockets.handshake;
-  return bounds;
+admission::Limits callLimits(const settings::Deployment& deployment) {
+  admission::Limits limits;
+  limits.peers = static_cast<std::size_t>(deployment.sockets.connections);
+  limits.maxCallsPerPeer = static_cast<std::size_t>(deployment.sockets.asksPerSocket);
+  limits.requestTimeout = deployment.sockets.handshake;
+  return limits;
 }
 
-std::string bytesOf(const std::string& file) {
+std::string readFile(const std::string& file) {
   std::ifstream in(file, std::ios::binary);
   std::ostringstream out;
   out << in.rdbuf();
   return out.str();
 }
 
-bool writeWhole(const std::string& file, const std::string& bytes) {
-  const std::string next = file + ".next";
+bool writeFileAtomically(const std::string& file, const std::string& bytes) {
+  const std::string temporary = file + ".next";
   {
-    std::ofstream out(next, std::ios::binary | std::ios::trunc);
+    std::ofstream out(temporary, std::ios::binary | std::ios::trunc);
     out << bytes;
     out.flush();
     if (!out) return false;
   }
-  return std::rename(next.c_str(), file.c_str()) == 0;
+  return std::rename(temporary.c_str(), file.c_str()) == 0;
 }
 
-Director::Director(const Start& start)
-    : start_(start),
-      deployment_(settings::readDeployment(start.settingsFile)),
-      runName_(deployment_.name + "-" + runToken()),
+Director::Director(const Options& options)
+    : options_(options),
+      deployment_(settings::readDeployment(options.settingsFile)),
+      runId_(deployment_.name + "-" + randomRunToken()),
       base_(event_base_new()),
-      webTls_(tlsOf(net::Tls::Side::server, deployment_.playersTls, "http/1.1")),
-      grpcTls_(tlsOf(net::Tls::Side::server, deployment_.playersTls, "h2")),
-      nodesTls_(tlsOf(net::Tls::Side::client, deployment_.nodesTls, "")),
+      webSocketTls_(makeTls(net::Tls::Side::server, deployment_.playersTls, "http/1.1")),
+      grpcTls_(makeTls(net::Tls::Side::server, deployment_.playersTls, "h2")),
+      nodesTls_(makeTls(net::Tls::Side::client, deployment_.nodesTls, "")),
       membership_(deployment_.terms.cells, deployment_.leastKept, deployment_.bounds.grace),
-      front_(deployment_.terms, boundsOf(deployment_, start.hooks), deciderOf(start, deployment_.terms)),
-      nodes_(base_.get(), *this, runName_, deployment_.nodes, connectOf(nodesTls_.get())),
-      reception_({deployment_.name, deployment_.roomTypes, deployment_.tenants, deployment_.clientTimeouts},
-                 deployment_.terms.roomTypes),
-      desk_(deskBounds(deployment_)) {
-  makeAnswerTimes();
+      front_(deployment_.terms, sessionLimits(deployment_, options.hooks),
+             makeDecider(options, deployment_.terms)),
+      nodes_(base_.get(), *this, runId_, deployment_.nodes, connectFunction(nodesTls_.get())),
+      requestTranslator_(
+          {deployment_.name, deployment_.roomTypes, deployment_.tenants, deployment_.clientTimeouts},
+          deployment_.terms.roomTypes),
+      callManager_(callLimits(deployment_)) {
+  createAnswerTimeHistograms();
   setUpLog(deployment_.logLevel, deployment_.logForm, deployment_.name);
   startedAt_ = net::monotonicNow();
   ticketKeys_ = deployment_.ticketKeyFile.empty() ? ticket::KeyRing{ticket::freshKey()}
                                                   : ticket::readKeys(deployment_.ticketKeyFile);
   if (deployment_.ticketKeyFile.empty())
-    log(Level::warn, "tickets-unshared", {{"why", "no key-file: a key was drawn for this run alone"}});
+    log(Level::warn, "tickets-unshared", {{"why", "no key-file: a random key is used for this run only"}});
 
-  if (!deployment_.ledgerFile.empty() && start.hooks.ledgerEnabled) openLedger();
+  if (!deployment_.ledgerFile.empty() && options.hooks.ledgerEnabled) openLedger();
 
-  // The list of before a restart comes first: it is all there is if the list's source is out of reach.
+  // The list saved by the previous run is loaded first, because the list file may be unavailable.
   try {
     const Micros offset = net::monotonicNow() - net::wallNow();
     front_.listUpdated(membership_.restore(settings::readNodes(deployment_.keptAs, deployment_, offset)));
     log(Level::info, "list-kept",
         {{"version", std::to_string(membership_.version())},
          {"nodes", std::to_string(membership_.endpoints().size())}});
-  } catch (const settings::BadSettings& bad) {
-    log(Level::info, "list-not-kept", {{"why", bad.what()}});
+  } catch (const settings::BadSettings& error) {
+    log(Level::info, "list-not-kept", {{"why", error.what()}});
     front_.listUpdated({ListKind::cachedSnapshot, {}});
   }
-  look(true);
+  checkNodeList(true);
 
-  players_ =
-      std::make_unique<websocket::Players>(base_.get(), *this, desk_, deployment_.name, deployment_.players,
-                                           deployment_.sockets, acceptOf(webTls_.get()));
-  doors_.push_back(players_.get());
+  players_ = std::make_unique<websocket::Players>(base_.get(), *this, callManager_, deployment_.name,
+                                                  deployment_.players, deployment_.sockets,
+                                                  acceptFunction(webSocketTls_.get()));
+  playerServers_.push_back(players_.get());
   if (deployment_.grpc) {
-    calls_ = std::make_unique<grpc::Calls>(base_.get(), *this, desk_, deployment_.name, *deployment_.grpc,
-                                           deployment_.sockets, acceptOf(grpcTls_.get()));
-    doors_.push_back(calls_.get());
+    calls_ =
+        std::make_unique<grpc::Calls>(base_.get(), *this, callManager_, deployment_.name, *deployment_.grpc,
+                                      deployment_.sockets, acceptFunction(grpcTls_.get()));
+    playerServers_.push_back(calls_.get());
   }
-  admin_ =
-      std::make_unique<Admin>(base_.get(), deployment_.admin,
-                              [this](const std::string& m, const std::string& p) { return serve(m, p); });
+  admin_ = std::make_unique<Admin>(base_.get(), deployment_.admin,
+                                   [this](const std::string& method, const std::string& path) {
+                                     return handleAdminRequest(method, path);
+                                   });
   wake_.reset(event_new(base_.get(), -1, 0, onWake, nullptr));
   for (const int signal : {SIGTERM, SIGINT, SIGHUP}) {
     signals_.emplace_back(evsignal_new(base_.get(), signal, onSignal, this));
     event_add(signals_.back().get(), nullptr);
   }
   std::signal(SIGPIPE, SIG_IGN);
-  if (!start.portsFile.empty() &&
-      !writeWhole(start.portsFile, "players " + std::to_string(players_->port()) + "\nadmin " +
-                                       std::to_string(admin_->port()) +
-                                       (calls_ ? "\ngrpc " + std::to_string(calls_->port()) : "") + "\n"))
-    throw std::runtime_error(start.portsFile + ": cannot be written");
+  if (!options.portsFile.empty() &&
+      !writeFileAtomically(options.portsFile, "players " + std::to_string(players_->port()) + "\nadmin " +
+                                                  std::to_string(admin_->port()) +
+                                                  (calls_ ? "\ngrpc " + std::to_string(calls_->port()) : "") +
+                                                  "\n"))
+    throw std::runtime_error(options.portsFile + ": cannot be written");
   log(Level::info, "listening",
       {{"players", std::to_string(players_->port())},
        {"grpc", calls_ ? std::to_string(calls_->port()) : "none"},
@@ -266,48 +280,49 @@
 }
 
 std::size_t Director::sockets() const {
-  std::size_t all = 0;
-  for (const admission::PlayerServer* door : doors_) all += door->sockets();
-  return all;
+  std::size_t total = 0;
+  for (const admission::PlayerServer* server : playerServers_) total += server->sockets();
+  return total;
 }
 
 void Director::openLedger() {
-  stored_.fd = eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
-  storedEvent_.reset(event_new(base_.get(), stored_.fd, EV_READ | EV_PERSIST, onStored, this));
-  event_add(storedEvent_.get(), nullptr);
+  storeEventFd_.fd = eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
+  storeEvent_.reset(event_new(base_.get(), storeEventFd_.fd, EV_READ | EV_PERSIST, onStoreCommit, this));
+  event_add(storeEvent_.get(), nullptr);
   store_ = std::make_unique<store::Store>(deployment_.ledgerFile, deployment_.ledgerMegabytes,
-                                          net::wallNow() - net::monotonicNow(), [fd = stored_.fd] {
+                                          net::wallNow() - net::monotonicNow(), [fd = storeEventFd_.fd] {
                                             const std::uint64_t one = 1;
-                                            if (write(fd, &one, sizeof one) < 0) return;  // full: it is awake
+                                            if (write(fd, &one, sizeof one) < 0)
+                                              return;  // counter full: already signalled
                                           });
   const store::Found& found = store_->found();
-  // Guards against a ledger that was deleted, which looks like a first start: who says "again" is believed
-  // then, and a first start has nobody who could say so in earnest.
+  // A deleted ledger cannot be told from a first start. The ledger therefore counts as lost in both cases, so
+  // that declared repeats are treated as possibly run; at a true first start no client sends any.
   front_.recover(net::monotonicNow(), found.records, found.whole && !found.fresh);
   if (found.whole && found.fresh)
     log(Level::warn, "ledger-new",
-        {{"file", deployment_.ledgerFile}, {"so", "repeats that say so are answered as if they had run"}});
+        {{"file", deployment_.ledgerFile}, {"so", "declared repeats are answered as if they had run"}});
   else if (found.whole)
     log(Level::info, "ledger", {{"records", std::to_string(found.records.size())}});
   else
     log(Level::error, "ledger-damaged",
         {{"why", found.complaint},
          {"kept", std::to_string(found.records.size())},
-         {"so", "repeats of paid asks are answered as if they had run"}});
+         {"so", "repeats of paid requests are answered as if they had run"}});
 }
 
-void Director::onStored(evutil_socket_t fd, short, void* me) {
-  auto& director = *static_cast<Director*>(me);
+void Director::onStoreCommit(evutil_socket_t fd, short, void* context) {
+  auto& director = *static_cast<Director*>(context);
   std::uint64_t count = 0;
   if (read(static_cast<int>(fd), &count, sizeof count) < 0) return;
   director.front_.durable(director.store_->durable());
   if (!director.store_->failed()) return;
-  log(Level::error, "ledger-failed", {{"so", "paid asks are refused until a restart"}});
+  log(Level::error, "ledger-failed", {{"so", "paid requests are refused until a restart"}});
   director.front_.storeFailed();
 }
 
-void Director::onSignal(evutil_socket_t signal, short, void* me) {
-  auto& director = *static_cast<Director*>(me);
+void Director::onSignal(evutil_socket_t signal, short, void* context) {
+  auto& director = *static_cast<Director*>(context);
   if (signal == SIGHUP) return director.reload();
   if (director.stopping_) return;
   log(Level::info, "stopping", {{"signal", std::to_string(signal)}});
@@ -320,26 +335,26 @@
 int Director::loop() {
   Micros last = net::monotonicNow();
   while (true) {
-    const Micros due = std::min(front_.due(), housedAt_ + housekeeping);
+    const Micros due = std::min(front_.due(), lastHousekeeping_ + housekeepingInterval);
     const Micros wait = std::max<Micros>(0, due - net::monotonicNow());
     const timeval span{static_cast<time_t>(wait / 1'000'000), static_cast<suseconds_t>(wait % 1'000'000)};
     event_add(wake_.get(), &span);
     event_base_loop(base_.get(), EVLOOP_ONCE);
-    // Guards against deciding on a part of what came while the process stood still: answers that lie in the
-    // sockets must be read before time-outs are drawn from their absence.
-    if (net::monotonicNow() - last > stoodStill)
+    // After a stall, all input waiting in the sockets is read before the front decides: otherwise answers
+    // that arrived in time would be treated as time-outs.
+    if (net::monotonicNow() - last > stallThreshold)
       for (int pass = 0; pass < catchUpPasses; ++pass) event_base_loop(base_.get(), EVLOOP_NONBLOCK);
     last = net::monotonicNow();
-    turn();
-    for (const session::CallId callId : std::exchange(cuts_, {}))
-      for (admission::PlayerServer* door : doors_) door->cut(callId);
-    if (last - housedAt_ >= housekeeping) house();
-    if (stopping_ && stopAt_ == 0) {
-      for (admission::PlayerServer* door : doors_) door->closeAll();
-      stopAt_ = last + flushTime;
+    runTurn();
+    for (const session::CallId callId : std::exchange(callsToDrop_, {}))
+      for (admission::PlayerServer* server : playerServers_) server->cut(callId);
+    if (last - lastHousekeeping_ >= housekeepingInterval) runHousekeeping();
+    if (stopping_ && exitDeadline_ == 0) {
+      for (admission::PlayerServer* server : playerServers_) server->closeAll();
+      exitDeadline_ = last + shutdownFlushTimeout;
     }
-    if (stopAt_ != 0 && (last >= stopAt_ || sockets() == 0)) break;
-    if (drainingOut_ && !stopping_) {
+    if (exitDeadline_ != 0 && (last >= exitDeadline_ || sockets() == 0)) break;
+    if (draining_ && !stopping_) {
       const session::Statistics statistics = front_.statistics();
       if (statistics.open == 0 && statistics.plays == 0) {
         log(Level::info, "drained", {});
@@ -352,223 +367,229 @@
   return 0;
 }
 
-void Director::house() {
-  const Micros now = housedAt_ = net::monotonicNow();
-  follow();
-  for (admission::PlayerServer* door : doors_) door->tick(now);
+void Director::runHousekeeping() {
+  const Micros now = lastHousekeeping_ = net::monotonicNow();
+  sendDueActions();
+  for (admission::PlayerServer* server : playerServers_) server->tick(now);
   nodes_.tick(now);
-  if (now - lookedAt_ >= deployment_.lookEvery) look(false);
-  if (ListUpdate told = membership_.confirmRemovals(now); !told.entries.empty()) {
-    log(Level::warn, "list-confirmed", {{"gone", std::to_string(told.entries.size())}});
-    front_.listUpdated(std::move(told));
+  if (now - lastListCheck_ >= deployment_.lookEvery) checkNodeList(false);
+  if (ListUpdate update = membership_.confirmRemovals(now); !update.entries.empty()) {
+    log(Level::warn, "list-confirmed", {{"gone", std::to_string(update.entries.size())}});
+    front_.listUpdated(std::move(update));
   }
 }
 
-void Director::turn() {
+void Director::runTurn() {
   const Micros now = net::monotonicNow();
   if (now < front_.due()) return;
-  orders_.clear();
-  front_.processTurn(now, orders_);
-  if (start_.hooks.alterCommands) start_.hooks.alterCommands(now, orders_);
-  if (start_.hooks.onFaultPoint)
+  commands_.clear();
+  front_.processTurn(now, commands_);
+  if (options_.hooks.alterCommands) options_.hooks.alterCommands(now, commands_);
+  if (options_.hooks.onFaultPoint)
     for (const std::string& title : std::exchange(turnTitles_, {}))
-      start_.hooks.onFaultPoint(FaultPoint::requestDecided, title);
-  for (const session::Command& order : orders_) carry(order);
+      options_.hooks.onFaultPoint(FaultPoint::requestDecided, title);
+  for (const session::Command& command : commands_) execute(command);
   if (store_) store_->write(front_.takeWrites());
 }
 
-// ---- asks and answers ----
+// ---- requests and answers ----
 
-bool Director::onRequest(session::CallId callId, const session_api::PlayMessage& ask, std::string& why) {
+bool Director::onRequest(session::CallId callId, const session_api::PlayMessage& request,
+                         std::string& reason) {
   const Micros now = net::monotonicNow();
-  auto read = reception_.translate(callId, ask, desk_.timeLeft(now, callId), membership_, why);
-  if (!read) return false;
-  if (start_.hooks.onFaultPoint) {
-    titles_[callId] = read->title;
-    if (cutAt(FaultPoint::requestRead, callId)) return true;
-    if (start_.hooks.onFaultPoint(FaultPoint::requestRead, read->title) == FaultAction::reject) {
-      carry(session::Throttled{callId, 100'000, session::ThrottleReason::busy});
+  auto translated =
+      requestTranslator_.translate(callId, request, callManager_.timeLeft(now, callId), membership_, reason);
+  if (!translated) return false;
+  if (options_.hooks.onFaultPoint) {
+    requestTitles_[callId] = translated->title;
+    if (dropConnectionAt(FaultPoint::requestRead, callId)) return true;
+    if (options_.hooks.onFaultPoint(FaultPoint::requestRead, translated->title) == FaultAction::reject) {
+      execute(session::Throttled{callId, injectedRetryAfter, session::ThrottleReason::busy});
       return true;
     }
-    turnTitles_.push_back(read->title);
+    turnTitles_.push_back(translated->title);
   }
-  asked_[callId] = {now, read->roomType};
-  front_.submit(std::move(*read));
+  pendingRequests_[callId] = {now, translated->roomType};
+  front_.submit(std::move(*translated));
   return true;
 }
 
-void Director::answered(session::CallId callId, Kind kind) {
-  const auto it = asked_.find(callId);
-  if (it == asked_.end()) return;
-  const AskedAt at = it->second;
-  asked_.erase(it);
-  const auto place = static_cast<std::size_t>(at.roomType) * kinds + static_cast<std::size_t>(kind);
-  answerTimes_[place]->Observe(static_cast<double>(net::monotonicNow() - at.at) / 1e6);
+void Director::recordAnswerTime(session::CallId callId, Decision decision) {
+  const auto it = pendingRequests_.find(callId);
+  if (it == pendingRequests_.end()) return;
+  const PendingRequest request = it->second;
+  pendingRequests_.erase(it);
+  const auto index =
+      static_cast<std::size_t>(request.roomType) * decisionCount + static_cast<std::size_t>(decision);
+  answerTimes_[index]->Observe(static_cast<double>(net::monotonicNow() - request.receivedAt) / 1e6);
 }
 
-// Made once: looking one up by its labels costs more than an answer's whole JSON.
-void Director::makeAnswerTimes() {
-  const prometheus::Histogram::BucketBoundaries bounds{0.0005, 0.001, 0.002, 0.005, 0.01, 0.02, 0.05,
-                                                       0.1,    0.2,   0.5,   1,     2,    5};
+// The histograms are created once, because a lookup by labels costs more than serializing an answer.
+void Director::createAnswerTimeHistograms() {
+  const prometheus::Histogram::BucketBoundaries boundariesSeconds{
+      0.0005, 0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5};
   auto& family = prometheus::BuildHistogram()
                      .Name("lupinsill_answer_seconds")
-                     .Help("From reading an ask to handing its answer to the socket")
+                     .Help("Seconds from reading a request to passing its answer to the socket")
                      .Register(registry_);
   for (const std::string& room : deployment_.roomTypes)
     for (const char* answer : {"playing", "throttled", "terminated"})
-      answerTimes_.push_back(&family.Add({{"answer", answer}, {"room", room}}, bounds));
+      answerTimes_.push_back(&family.Add({{"answer", answer}, {"room", room}}, boundariesSeconds));
 }
 
-bool Director::cutAt(FaultPoint step, session::CallId callId) {
-  const auto it = titles_.find(callId);
-  if (it == titles_.end() || start_.hooks.onFaultPoint(step, it->second) != FaultAction::dropConnection)
+bool Director::dropConnectionAt(FaultPoint point, session::CallId callId) {
+  const auto it = requestTitles_.find(callId);
+  if (it == requestTitles_.end() ||
+      options_.hooks.onFaultPoint(point, it->second) != FaultAction::dropConnection)
     return false;
-  cuts_.push_back(callId);
+  callsToDrop_.push_back(callId);
   return true;
 }
 
 void Director::joinStarted(session::JoinId join) {
   if (const auto it = joinTitles_.find(join); it != joinTitles_.end())
-    start_.hooks.onFaultPoint(FaultPoint::joinStarted, it->second);
+    options_.hooks.onFaultPoint(FaultPoint::joinStarted, it->second);
   front_.joinStarted(join);
 }
 
-void Director::say(session::CallId callId, const session_api::AnswerMessage& message) {
+void Director::sendAnswer(session::CallId callId, const session_api::AnswerMessage& message) {
   using session_api::AnswerKind;
-  const admission::ReplyKind tell = message.kind == AnswerKind::playing     ? admission::ReplyKind::playing
-                                    : message.kind == AnswerKind::throttled ? admission::ReplyKind::throttled
-                                    : message.kind == AnswerKind::terminated
-                                        ? admission::ReplyKind::terminated
-                                    : message.kind == AnswerKind::rung  ? admission::ReplyKind::rung
-                                    : message.kind == AnswerKind::ended ? admission::ReplyKind::ended
-                                                                        : admission::ReplyKind::error;
-  const bool answer = tell == admission::ReplyKind::playing || tell == admission::ReplyKind::throttled ||
-                      tell == admission::ReplyKind::terminated;
-  if (start_.hooks.onFaultPoint && answer && cutAt(FaultPoint::answerDecided, callId)) return;
-  const admission::SendMode send = desk_.reply(callId, tell);
-  if (send == admission::SendMode::drop) return;
-  for (admission::PlayerServer* door : doors_)
-    if (door->send(callId, message, send == admission::SendMode::endCall)) return;
-}
-
-// What the desk has due: the notices of a drain, and calls past their own deadline.
-void Director::follow() {
-  dues_.clear();
-  desk_.tick(net::monotonicNow(), dues_);
-  for (const admission::DueAction& due : dues_)
-    for (admission::PlayerServer* door : doors_) door->send(due);
-}
-
-void Director::carry(const session::Command& order) {
+  const admission::ReplyKind replyKind =
+      message.kind == AnswerKind::playing      ? admission::ReplyKind::playing
+      : message.kind == AnswerKind::throttled  ? admission::ReplyKind::throttled
+      : message.kind == AnswerKind::terminated ? admission::ReplyKind::terminated
+      : message.kind == AnswerKind::rung       ? admission::ReplyKind::rung
+      : message.kind == AnswerKind::ended      ? admission::ReplyKind::ended
+                                               : admission::ReplyKind::error;
+  const bool answer = replyKind == admission::ReplyKind::playing ||
+                      replyKind == admission::ReplyKind::throttled ||
+                      replyKind == admission::ReplyKind::terminated;
+  if (options_.hooks.onFaultPoint && answer && dropConnectionAt(FaultPoint::answerDecided, callId)) return;
+  const admission::SendMode mode = callManager_.reply(callId, replyKind);
+  if (mode == admission::SendMode::drop) return;
+  for (admission::PlayerServer* server : playerServers_)
+    if (server->send(callId, message, mode == admission::SendMode::endCall)) return;
+}
+
+// Carries out the timed actions of the call manager: drain notices, and the end of calls past their deadline.
+void Director::sendDueActions() {
+  dueActions_.clear();
+  callManager_.tick(net::monotonicNow(), dueActions_);
+  for (const admission::DueAction& action : dueActions_)
+    for (admission::PlayerServer* server : playerServers_) server->send(action);
+}
+
+void Director::execute(const session::Command& command) {
   using session_api::AnswerKind;
   using session_api::AnswerMessage;
-  if (const auto* playing = std::get_if<session::Playing>(&order)) {
+  if (const auto* playing = std::get_if<session::Playing>(&command)) {
     const fleet::NodeEndpoint* endpoint = membership_.find(playing->node);
     AnswerMessage message;
     message.kind = AnswerKind::playing;
-    message.subscription = runName_ + "-" + std::to_string(playing->sub);
+    message.subscription = runId_ + "-" + std::to_string(playing->sub);
     message.node = endpoint == nullptr ? "" : endpoint->host + ":" + std::to_string(endpoint->port);
     message.rung = playing->rung;
     message.ticket =
         ticket::sign(ticketKeys_.front(), {message.subscription, message.node, playing->rung,
                                            (net::wallNow() + deployment_.ticketValid) / 1'000'000});
-    answered(playing->callId, Kind::playing);
-    say(playing->callId, message);
-  } else if (const auto* throttled = std::get_if<session::Throttled>(&order)) {
+    recordAnswerTime(playing->callId, Decision::playing);
+    sendAnswer(playing->callId, message);
+  } else if (const auto* throttled = std::get_if<session::Throttled>(&command)) {
     AnswerMessage message;
     message.kind = AnswerKind::throttled;
     message.reason = nameOf(throttled->reason);
     message.retryAfter = throttled->retryAfter;
-    answered(throttled->callId, Kind::throttled);
-    say(throttled->callId, message);
-  } else if (const auto* terminated = std::get_if<session::Terminated>(&order)) {
+    recordAnswerTime(throttled->callId, Decision::throttled);
+    sendAnswer(throttled->callId, message);
+  } else if (const auto* terminated = std::get_if<session::Terminated>(&command)) {
     AnswerMessage message;
     message.kind = AnswerKind::terminated;
     message.reason = nameOf(terminated->reason);
-    answered(terminated->callId, Kind::terminated);
-    say(terminated->callId, message);
-  } else if (const auto* rung = std::get_if<session::RungChanged>(&order)) {
+    recordAnswerTime(terminated->callId, Decision::terminated);
+    sendAnswer(terminated->callId, message);
+  } else if (const auto* rung = std::get_if<session::RungChanged>(&command)) {
     AnswerMessage message;
     message.kind = AnswerKind::rung;
     message.rung = rung->rung;
-    say(rung->callId, message);
-  } else if (const auto* end = std::get_if<session::Ended>(&order)) {
+    sendAnswer(rung->callId, message);
+  } else if (const auto* ended = std::get_if<session::Ended>(&command)) {
     AnswerMessage message;
     message.kind = AnswerKind::ended;
-    message.reason = nameOf(end->reason);
-    message.retryAfter = end->retryAfter;
-    say(end->callId, message);
-  } else if (const auto* setUp = std::get_if<session::SetUp>(&order)) {
+    message.reason = nameOf(ended->reason);
+    message.retryAfter = ended->retryAfter;
+    sendAnswer(ended->callId, message);
+  } else if (const auto* setUp = std::get_if<session::SetUp>(&command)) {
     const fleet::NodeEndpoint* endpoint = membership_.find(setUp->node);
     if (endpoint == nullptr) return front_.joinEnded(setUp->join, Outcome::connectFailed, {}, false);
-    if (start_.hooks.onFaultPoint) {
+    if (options_.hooks.onFaultPoint) {
       joinTitles_[setUp->join] = setUp->title;
-      start_.hooks.onFaultPoint(FaultPoint::joinSent, setUp->title);
+      options_.hooks.onFaultPoint(FaultPoint::joinSent, setUp->title);
     }
     nodes_.setUp(*setUp, *endpoint, deployment_.roomTypes[static_cast<std::size_t>(setUp->roomType)]);
-  } else if (const auto* change = std::get_if<session::ChangeRung>(&order)) {
+  } else if (const auto* change = std::get_if<session::ChangeRung>(&command)) {
     nodes_.change(*change);
-  } else if (const auto* down = std::get_if<session::TearDown>(&order)) {
-    nodes_.tearDown(down->join);
-  } else if (const auto* withdraw = std::get_if<session::Withdraw>(&order)) {
+  } else if (const auto* tearDown = std::get_if<session::TearDown>(&command)) {
+    nodes_.tearDown(tearDown->join);
+  } else if (const auto* withdraw = std::get_if<session::Withdraw>(&command)) {
     nodes_.withdraw(withdraw->join);
   } else {
-    listStat_ = {};  // read it again though it looks the same
+    listStat_ = {};  // forces the list to be read again though the file has not changed
   }
 }
 
-// ---- the list ----
+// ---- node list ----
 
 void Director::nodeDrains(NodeId node) {
-  ListUpdate told = membership_.markDraining(node);
-  if (told.entries.empty()) return;
+  ListUpdate update = membership_.markDraining(node);
+  if (update.entries.empty()) return;
   log(Level::info, "node-drains", {{"node", std::to_string(node)}, {"by", "itself"}});
-  front_.listUpdated(std::move(told));
+  front_.listUpdated(std::move(update));
 }
 
-void Director::look(bool first) {
-  lookedAt_ = net::monotonicNow();
-  struct stat now {};
-  if (stat(deployment_.listFile.c_str(), &now) != 0) {
+void Director::checkNodeList(bool first) {
+  lastListCheck_ = net::monotonicNow();
+  struct stat current {};
+  if (stat(deployment_.listFile.c_str(), &current) != 0) {
     if (first) log(Level::warn, "list-missing", {{"file", deployment_.listFile}});
     return;
   }
-  if (now.st_ino == listStat_.st_ino && now.st_size == listStat_.st_size &&
-      now.st_mtim.tv_sec == listStat_.st_mtim.tv_sec && now.st_mtim.tv_nsec == listStat_.st_mtim.tv_nsec)
+  if (current.st_ino == listStat_.st_ino && current.st_size == listStat_.st_size &&
+      current.st_mtim.tv_sec == listStat_.st_mtim.tv_sec &&
+      current.st_mtim.tv_nsec == listStat_.st_mtim.tv_nsec)
     return;
-  listStat_ = now;
+  listStat_ = current;
   try {
     const Micros offset = net::monotonicNow() - net::wallNow();
-    const std::string bytes = bytesOf(deployment_.listFile);
-    const fleet::NodeList word = settings::readNodes(deployment_.listFile, deployment_, offset);
-    ListUpdate told;
-    const fleet::UpdateResult taken = membership_.apply(lookedAt_, word, told);
-    const bool applied = taken == fleet::UpdateResult::applied || taken == fleet::UpdateResult::tooMuchGone;
+    const std::string bytes = readFile(deployment_.listFile);
+    const fleet::NodeList list = settings::readNodes(deployment_.listFile, deployment_, offset);
+    ListUpdate update;
+    const fleet::UpdateResult result = membership_.apply(lastListCheck_, list, update);
+    const bool applied = result == fleet::UpdateResult::applied || result == fleet::UpdateResult::tooMuchGone;
     log(applied ? Level::info : Level::warn, "list",
-        {{"version", std::to_string(word.version)},
-         {"taken", nameOf(taken)},
-         {"changes", std::to_string(told.entries.size())}});
-    listComplaint_.clear();
+        {{"version", std::to_string(list.version)},
+         {"taken", nameOf(result)},
+         {"changes", std::to_string(update.entries.size())}});
+    listError_.clear();
     if (!applied) return;
-    ++listApplied_;
-    if (!told.entries.empty() || told.kind == ListKind::snapshot) front_.listUpdated(std::move(told));
-    keepList(bytes);
-  } catch (const settings::BadSettings& bad) {
-    // The list of before stays in force: no list is worse than an old one.
-    ++listRefused_;
-    listComplaint_ = bad.what();
-    log(Level::error, "list-refused", {{"why", bad.what()}});
+    ++listsApplied_;
+    if (!update.entries.empty() || update.kind == ListKind::snapshot) front_.listUpdated(std::move(update));
+    persistNodeList(bytes);
+  } catch (const settings::BadSettings& error) {
+    // The previous list stays in force: an old list is better than none.
+    ++listsRejected_;
+    listError_ = error.what();
+    log(Level::error, "list-refused", {{"why", error.what()}});
   }
 }
 
-void Director::keepList(const std::string& bytes) {
-  if (!writeWhole(deployment_.keptAs, bytes))
+void Director::persistNodeList(const std::string& bytes) {
+  if (!writeFileAtomically(deployment_.keptAs, bytes))
     log(Level::error, "list-not-kept", {{"file", deployment_.keptAs}});
 }
 
 void Director::reload() {
   try {
-    settings::Deployment next = settings::readDeployment(start_.settingsFile);
+    settings::Deployment next = settings::readDeployment(options_.settingsFile);
     const std::vector<std::string> unsafe = settings::unsafeChanges(deployment_, next);
     if (!unsafe.empty()) {
       std::string names;
@@ -576,73 +597,73 @@
       return log(Level::error, "reload-refused", {{"needs a restart", names}});
     }
     if (!next.ticketKeyFile.empty()) ticketKeys_ = ticket::readKeys(next.ticketKeyFile);
-    // Each is read before any is taken over: certificates of two dates would not fit each other.
-    std::unique_ptr<net::Tls> web = tlsOf(net::Tls::Side::server, next.playersTls, "http/1.1");
-    std::unique_ptr<net::Tls> second = tlsOf(net::Tls::Side::server, next.playersTls, "h2");
-    std::unique_ptr<net::Tls> nodes = tlsOf(net::Tls::Side::client, next.nodesTls, "");
-    if (web) webTls_->takeOver(*web);
-    if (second) grpcTls_->takeOver(*second);
-    if (nodes) nodesTls_->takeOver(*nodes);
+    // All files are read before any is put to use, so that certificates of different dates are never mixed.
+    std::unique_ptr<net::Tls> webSocketTls = makeTls(net::Tls::Side::server, next.playersTls, "http/1.1");
+    std::unique_ptr<net::Tls> grpcTls = makeTls(net::Tls::Side::server, next.playersTls, "h2");
+    std::unique_ptr<net::Tls> nodesTls = makeTls(net::Tls::Side::client, next.nodesTls, "");
+    if (webSocketTls) webSocketTls_->takeOver(*webSocketTls);
+    if (grpcTls) grpcTls_->takeOver(*grpcTls);
+    if (nodesTls) nodesTls_->takeOver(*nodesTls);
     deployment_ = std::move(next);
     setUpLog(deployment_.logLevel, deployment_.logForm, deployment_.name);
     players_->setLimits(deployment_.sockets);
     if (calls_) calls_->setLimits(deployment_.sockets);
-    desk_.setLimits(deskBounds(deployment_));
+    callManager_.setLimits(callLimits(deployment_));
     nodes_.setLimits(deployment_.nodes);
     listStat_ = {};
     log(Level::info, "reloaded", {});
-  } catch (const std::runtime_error& bad) {
-    log(Level::error, "reload-refused", {{"why", bad.what()}});
+  } catch (const std::runtime_error& error) {
+    log(Level::error, "reload-refused", {{"why", error.what()}});
   }
 }
 
-// ---- operators ----
+// ---- admin requests ----
 
-AdminResponse Director::serve(const std::string& method, const std::string& path) {
-  if (method == "GET" && path == "/metrics") return {200, "text/plain; version=0.0.4", metrics()};
-  if (method == "GET" && path == "/status") return {200, "application/json", status()};
-  if (method == "GET" && path == "/nodes") return {200, "application/json", nodesShown()};
+AdminResponse Director::handleAdminRequest(const std::string& method, const std::string& path) {
+  if (method == "GET" && path == "/metrics") return {200, "text/plain; version=0.0.4", metricsText()};
+  if (method == "GET" && path == "/status") return {200, "application/json", statusJson()};
+  if (method == "GET" && path == "/nodes") return {200, "application/json", nodesJson()};
   if (method == "POST" && (path == "/drain" || path == "/undrain")) {
-    drainingOut_ = path == "/drain";
-    front_.drain(drainingOut_);
-    desk_.drain(drainingOut_);
-    if (calls_) calls_->setServing(!drainingOut_);
-    log(Level::info, drainingOut_ ? "draining" : "drain-called-off", {});
-    return {200, "application/json", status()};
+    draining_ = path == "/drain";
+    front_.drain(draining_);
+    callManager_.drain(draining_);
+    if (calls_) calls_->setServing(!draining_);
+    log(Level::info, draining_ ? "draining" : "drain-called-off", {});
+    return {200, "application/json", statusJson()};
   }
   return {404, "text/plain", "no such page\n"};
 }
 
-std::string Director::status() {
-  const session::Statistics f = front_.statistics();
+std::string Director::statusJson() {
+  const session::Statistics statistics = front_.statistics();
   nlohmann::ordered_json json{{"director", deployment_.name},
                               {"draining", front_.draining()},
                               {"upSeconds", (net::monotonicNow() - startedAt_) / 1'000'000},
-                              {"openAsks", f.open},
-                              {"subscriptions", f.plays},
-                              {"asks", f.asks},
-                              {"playing", f.playing},
-                              {"throttled", f.throttled},
-                              {"terminated", f.terminated},
+                              {"openAsks", statistics.open},
+                              {"subscriptions", statistics.plays},
+                              {"asks", statistics.asks},
+                              {"playing", statistics.playing},
+                              {"throttled", statistics.throttled},
+                              {"terminated", statistics.terminated},
                               {"sockets", sockets()},
                               {"list",
                                {{"version", membership_.version()},
                                 {"nodes", membership_.endpoints().size()},
-                                {"refused", listRefused_}}}};
-  if (!listComplaint_.empty()) json["list"]["complaint"] = listComplaint_;
-  nlohmann::ordered_json held = nlohmann::ordered_json::object();
+                                {"refused", listsRejected_}}}};
+  if (!listError_.empty()) json["list"]["complaint"] = listError_;
+  nlohmann::ordered_json violations = nlohmann::ordered_json::object();
   for (std::size_t i = 0; i < session::ruleCount; ++i)
-    if (f.held[i] != 0) held[nameOf(static_cast<session::Rule>(i))] = f.held[i];
-  json["guardsHeld"] = held;
+    if (statistics.held[i] != 0) violations[nameOf(static_cast<session::Rule>(i))] = statistics.held[i];
+  json["guardsHeld"] = violations;
   return json.dump(2) + "\n";
 }
 
-std::string Director::nodesShown() {
-  std::map<NodeId, session::Front::NodeStatus> shown;
-  for (const auto& row : front_.nodeStatuses()) shown.emplace(row.node, row);
+std::string Director::nodesJson() {
+  std::map<NodeId, session::Front::NodeStatus> statuses;
+  for (const auto& status : front_.nodeStatuses()) statuses.emplace(status.node, status);
   nlohmann::ordered_json rows = nlohmann::ordered_json::array();
   for (const auto& [id, endpoint] : membership_.endpoints()) {
-    const auto it = shown.find(id);
+    const auto it = statuses.find(id);
     rows.push_back({{"node", id},
                     {"address", endpoint.host + ":" + std::to_string(endpoint.port)},
                     {"state", endpoint.state == NodeState::ready      ? "ready"
@@ -650,13 +671,13 @@
                                                                       : "gone"},
                     {"zone", endpoint.zone},
                     {"cell", endpoint.cell},
-                    {"joinsOut", it == shown.end() ? 0 : it->second.waiting},
-                    {"subscriptions", it == shown.end() ? 0 : it->second.plays}});
+                    {"joinsOut", it == statuses.end() ? 0 : it->second.waiting},
+                    {"subscriptions", it == statuses.end() ? 0 : it->second.plays}});
   }
   return rows.dump(2) + "\n";
 }
 
-std::string Director::metrics() {
+std::string Director::metricsText() {
   std::vector<prometheus::MetricFamily> families = registry_.Collect();
   const auto add = [&](const char* name, const char* help, bool counter,
                        std::vector<std::pair<std::string, double>> values, const char* label = nullptr) {
@@ -672,82 +693,88 @@
     }
     families.push_back(std::move(family));
   };
-  const auto real = [](auto n) { return static_cast<double>(n); };
-  const session::Statistics f = front_.statistics();
-  const websocket::PlayersFigures& p = players_->statistics();
-  const admission::Statistics desk = desk_.statistics();
-  const media::NodesStatistics n = nodes_.statistics();
-  add("lupinsill_asks_total", "Asks taken from players", true, {{"", real(f.asks)}});
-  add("lupinsill_answers_total", "Answers given, by kind", true,
-      {{"playing", real(f.playing)}, {"throttled", real(f.throttled)}, {"terminated", real(f.terminated)}},
+  const auto toDouble = [](auto n) { return static_cast<double>(n); };
+  const session::Statistics front = front_.statistics();
+  const websocket::PlayersFigures& webSocket = players_->statistics();
+  const admission::Statistics callCounts = callManager_.statistics();
+  const media::NodesStatistics nodes = nodes_.statistics();
+  add("lupinsill_asks_total", "Requests accepted from players", true, {{"", toDouble(front.asks)}});
+  add("lupinsill_answers_total", "Answers sent, by kind", true,
+      {{"playing", toDouble(front.playing)},
+       {"throttled", toDouble(front.throttled)},
+       {"terminated", toDouble(front.terminated)}},
       "answer");
-  add("lupinsill_asks_repeated_total", "Asks answered from an earlier one of the same key", true,
-      {{"", real(f.repeated)}});
-  add("lupinsill_asks_late_total", "Asks too old when they were read", true, {{"", real(f.late)}});
-  add("lupinsill_standstills_total", "Gaps between turns over the stated length", true,
-      {{"", real(f.stalls)}});
-  add("lupinsill_joins_total", "Joins sent, by whether the subscription had one before", true,
-      {{"first", real(f.joins - f.furtherJoins)}, {"further", real(f.furtherJoins)}}, "join");
-  add("lupinsill_joins_handed_back_total", "Joins withdrawn before they were written", true,
-      {{"", real(f.withdrawnJoins)}});
-  add("lupinsill_subscriptions_ended_total", "Subscriptions ended by their node, by why", true,
-      {{"finished", real(f.ended - f.nodeLost)}, {"node-lost", real(f.nodeLost)}}, "why");
-  add("lupinsill_rung_changes_total", "Changes of rung while playing", true, {{"", real(f.rungChanges)}});
-  std::vector<std::pair<std::string, double>> held;
+  add("lupinsill_asks_repeated_total", "Requests answered from an earlier one with the same key", true,
+      {{"", toDouble(front.repeated)}});
+  add("lupinsill_asks_late_total", "Requests that were too old when they were read", true,
+      {{"", toDouble(front.late)}});
+  add("lupinsill_standstills_total", "Event loop stalls", true, {{"", toDouble(front.stalls)}});
+  add("lupinsill_joins_total", "Joins sent, by whether they were the first of their subscription", true,
+      {{"first", toDouble(front.joins - front.furtherJoins)}, {"further", toDouble(front.furtherJoins)}},
+      "join");
+  add("lupinsill_joins_handed_back_total", "Joins withdrawn before they were sent", true,
+      {{"", toDouble(front.withdrawnJoins)}});
+  add("lupinsill_subscriptions_ended_total", "Subscriptions ended by their media node, by reason", true,
+      {{"finished", toDouble(front.ended - front.nodeLost)}, {"node-lost", toDouble(front.nodeLost)}}, "why");
+  add("lupinsill_rung_changes_total", "Rung changes of playing subscriptions", true,
+      {{"", toDouble(front.rungChanges)}});
+  std::vector<std::pair<std::string, double>> violations;
   for (std::size_t i = 0; i < session::ruleCount; ++i)
-    held.emplace_back(nameOf(static_cast<session::Rule>(i)), real(f.held[i]));
-  add("lupinsill_guard_held_total", "What a guard held back, by rule; stays 0 on a sound build", true, held,
-      "rule");
-  add("lupinsill_open_asks", "Asks not answered yet", false, {{"", real(f.open)}});
-  add("lupinsill_subscriptions", "Subscriptions that play", false, {{"", real(f.plays)}});
-  add("lupinsill_asks_doubted_total", "Repeats answered for what a lost record may have said", true,
-      {{"", real(f.doubted)}});
+    violations.emplace_back(nameOf(static_cast<session::Rule>(i)), toDouble(front.held[i]));
+  add("lupinsill_guard_held_total", "Actions blocked by a guard, by rule; any value above 0 is a defect",
+      true, violations, "rule");
+  add("lupinsill_open_asks", "Requests not answered yet", false, {{"", toDouble(front.open)}});
+  add("lupinsill_subscriptions", "Playing subscriptions", false, {{"", toDouble(front.plays)}});
+  add("lupinsill_asks_doubted_total",
+      "Repeats answered as possibly run because their record may have been lost", true,
+      {{"", toDouble(front.doubted)}});
   if (store_)
     add("lupinsill_ledger_commits_total", "Group commits of the ledger", true,
-        {{"", real(store_->commits())}});
-  add("lupinsill_keys", "Keys of unsafe asks held or remembered", false, {{"", real(f.keys)}});
-  add("lupinsill_player_sockets", "Players' sockets", false, {{"", real(sockets())}});
-  add("lupinsill_player_sockets_total", "Players' sockets, by what became of them", true,
-      {{"accepted", real(desk.taken)},
-       {"refused", real(desk.refused)},
-       {"unruly", real(desk.abusive)},
-       {"closed", real(p.closed + (calls_ ? calls_->statistics().closed : 0))},
-       {"too-slow", real(p.slow)},
-       {"bad-message", real(p.badMessages + (calls_ ? calls_->statistics().badWords : 0))}},
+        {{"", toDouble(store_->commits())}});
+  add("lupinsill_keys", "Keys of unsafe requests in use or retained", false, {{"", toDouble(front.keys)}});
+  add("lupinsill_player_sockets", "Open player connections", false, {{"", toDouble(sockets())}});
+  add("lupinsill_player_sockets_total", "Player connections, by outcome", true,
+      {{"accepted", toDouble(callCounts.taken)},
+       {"refused", toDouble(callCounts.refused)},
+       {"unruly", toDouble(callCounts.abusive)},
+       {"closed", toDouble(webSocket.closed + (calls_ ? calls_->statistics().closed : 0))},
+       {"too-slow", toDouble(webSocket.slow)},
+       {"bad-message", toDouble(webSocket.badMessages + (calls_ ? calls_->statistics().badWords : 0))}},
       "what");
-  add("lupinsill_calls", "Asks on players' connections that are not over", false, {{"", real(desk.open)}});
-  add("lupinsill_calls_total", "Calls on players' connections, by what became of them", true,
-      {{"opened", real(desk.calls)},
-       {"refused", real(desk.callsRefused)},
-       {"deadline", real(desk.deadlines)},
-       {"wrong-word", real(desk.invalidInputs)},
-       {"second-answer", real(desk.secondAnswers)}},
+  add("lupinsill_calls", "Open calls on player connections", false, {{"", toDouble(callCounts.open)}});
+  add("lupinsill_calls_total", "Calls on player connections, by outcome", true,
+      {{"opened", toDouble(callCounts.calls)},
+       {"refused", toDouble(callCounts.callsRefused)},
+       {"deadline", toDouble(callCounts.deadlines)},
+       {"wrong-word", toDouble(callCounts.invalidInputs)},
+       {"second-answer", toDouble(callCounts.secondAnswers)}},
       "what");
-  add("lupinsill_node_connections", "Connections to media nodes", false, {{"", real(n.connections)}});
-  add("lupinsill_node_connections_total", "Connections to media nodes, by what became of them", true,
-      {{"opened", real(n.connects)},
-       {"failed", real(n.connectsFailed)},
-       {"lost", real(n.lost)},
-       {"bad-bytes", real(n.badBytes)},
-       {"stuck", real(n.stuck)}},
+  add("lupinsill_node_connections", "Open connections to media nodes", false,
+      {{"", toDouble(nodes.connections)}});
+  add("lupinsill_node_connections_total", "Connections to media nodes, by outcome", true,
+      {{"opened", toDouble(nodes.connects)},
+       {"failed", toDouble(nodes.connectsFailed)},
+       {"lost", toDouble(nodes.lost)},
+       {"bad-bytes", toDouble(nodes.badBytes)},
+       {"stuck", toDouble(nodes.stuck)}},
       "what");
-  add("lupinsill_node_late_answers_total", "Answers of nodes to joins given up on", true,
-      {{"", real(n.lateAnswers)}});
-  add("lupinsill_list_version", "Version of the list of nodes in force", false,
-      {{"", real(membership_.version())}});
-  add("lupinsill_list_total", "Lists read, by what was done with them", true,
-      {{"applied", real(listApplied_)},
-       {"refused", real(listRefused_)},
-       {"held-back", real(membership_.heldBack())}},
+  add("lupinsill_node_late_answers_total", "Answers of media nodes to joins that had timed out", true,
+      {{"", toDouble(nodes.lateAnswers)}});
+  add("lupinsill_list_version", "Version of the node list in use", false,
+      {{"", toDouble(membership_.version())}});
+  add("lupinsill_list_total", "Node lists read, by outcome", true,
+      {{"applied", toDouble(listsApplied_)},
+       {"refused", toDouble(listsRejected_)},
+       {"held-back", toDouble(membership_.heldBack())}},
       "what");
   return prometheus::TextSerializer().Serialize(families);
 }
 
 }  // namespace
 
-int run(const Start& start) {
-  if (sodium_init() < 0) throw std::runtime_error("libsodium cannot start");
-  Director director(start);
+int run(const Options& options) {
+  if (sodium_init() < 0) throw std::runtime_error("libsodium initialization failed");
+  Director director(options);
   return director.loop();
 }
 
--- a/src/director/director.h
+++ b/src/director/director.h
@@ -1,7 +1,9 @@
-// A running director: sockets and the real clock on one side, the session core on the other, one event loop
-// between. It carries events in and orders out and decides nothing.
-// Errors at start: settings::BadSettings, net::ListenError or std::runtime_error, each one line of text; a
-// director that has started ends only when told to.
+// The director process: runs the listeners, the connections to media nodes and the real clock in one event
+// loop around the session front. All decisions are made by the front; this module only passes events in and
+// carries out the commands that come back.
+//
+// Errors at start are settings::BadSettings, net::ListenError or std::runtime_error, each with one line of
+// text. A director that has started ends only on a signal or at the end of a drain.
 #pragma once
 
 #include <functional>
@@ -15,29 +17,34 @@
 
 namespace lupinsill::director {
 
-// The steps between an ask and its answer, at which the lab may kill a director, cut a call or (an
-// ask that was read) refuse it.
+// Points in the handling of a request at which the lab can inject a fault.
 enum class FaultPoint { requestRead, requestDecided, joinSent, joinStarted, answerDecided };
+
+// What is done at a fault point. `dropConnection` breaks the connection (over gRPC, the call) of the request;
+// `reject` throttles the request and applies at `requestRead` only.
 enum class FaultAction { none, dropConnection, reject };
 
-// Where a measurement or the lab's planted faults reach in; empty in service.
+// Fault injection and replacement of parts for the lab and for measurements. All empty in production.
 struct FaultHooks {
-  std::function<std::unique_ptr<session::Decider>(const ControlSettings& terms, std::uint64_t seed)>
+  // Replaces the default decision module.
+  std::function<std::unique_ptr<session::Decider>(const ControlSettings& settings, std::uint64_t seed)>
       makeDecider;
-  std::function<void(Micros now, std::vector<session::Command>& orders)> alterCommands;
-  std::function<FaultAction(FaultPoint step, const std::string& title)> onFaultPoint;
+  // May alter the commands of a turn before they are carried out.
+  std::function<void(Micros now, std::vector<session::Command>& commands)> alterCommands;
+  // Called at each fault point with the title of the request; may kill the process.
+  std::function<FaultAction(FaultPoint point, const std::string& title)> onFaultPoint;
   bool guardsEnabled = true;
-  bool ledgerEnabled = true;  // whether the ledger's store is used
+  bool ledgerEnabled = true;  // false: requests are not recorded in the ledger's store
 };
 
-struct Start {
+struct Options {
   std::string settingsFile;
-  std::string portsFile;   // where to write the ports taken; empty: nowhere
-  std::uint64_t seed = 0;  // 0: drawn
+  std::string portsFile;   // file to write the listening ports to; empty: none
+  std::uint64_t seed = 0;  // of the decision module; 0: random
   FaultHooks hooks;
 };
 
-// Runs until stopped by SIGTERM or SIGINT, or until a drain has ended. Returns the exit code.
-int run(const Start& start);
+// Runs until SIGTERM, SIGINT or the end of a drain. Returns the exit code.
+int run(const Options& options);
 
 }  // namespace lupinsill::director
--- a/tests/director_test.cpp
+++ b/tests/director_test.cpp
@@ -1,4 +1,5 @@
-// A director as a process, spoken to over plain sockets by a client and a node that are written by hand here.
+// Tests of a director as a process. Players and media nodes are sockets driven by each test; some tests use
+// the client library as the player.
 #include <arpa/inet.h>
 #include <poll.h>
 #include <signal.h>
@@ -27,12 +28,15 @@
 
 namespace {
 
-bool has(const std::string& text, const std::string& part) { return text.find(part) != std::string::npos; }
+bool contains(const std::string& text, const std::string& part) {
+  return text.find(part) != std::string::npos;
+}
 void sleepMs(int n) { std::this_thread::sleep_for(std::chrono::milliseconds(n)); }
 
-struct Socket {
+// A player's socket on which a test writes WebSocket bytes directly, valid or not.
+struct RawClient {
   int fd = -1;
-  explicit Socket(int port) {
+  explicit RawClient(int port) {
     fd = socket(AF_INET, SOCK_STREAM, 0);
     sockaddr_in to{};
     to.sin_family = AF_INET;
@@ -40,29 +44,29 @@
     to.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
     REQUIRE(connect(fd, reinterpret_cast<sockaddr*>(&to), sizeof to) == 0);
   }
-  ~Socket() { close(fd); }
-  Socket(const Socket&) = delete;
-  Socket& operator=(const Socket&) = delete;
+  ~RawClient() { close(fd); }
+  RawClient(const RawClient&) = delete;
+  RawClient& operator=(const RawClient&) = delete;
   void send(const std::string& bytes) const {
     REQUIRE(::send(fd, bytes.data(), bytes.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(bytes.size()));
   }
-  // What comes until `enough` says so, the peer closes, or five seconds pass.
-  template <class Enough>
-  std::string read(Enough enough) const {
-    std::string got;
-    for (int i = 0; i < 100 && !enough(got); ++i) {
+  // Returns the bytes received until `done` returns true, the peer closes, or 5 s have passed.
+  template <class Done>
+  std::string read(Done done) const {
+    std::string received;
+    for (int i = 0; i < 100 && !done(received); ++i) {
       pollfd p{fd, POLLIN, 0};
       if (poll(&p, 1, 50) <= 0) continue;
       char buffer[4096];
       const ssize_t n = recv(fd, buffer, sizeof buffer, 0);
       if (n <= 0) break;
-      got.append(buffer, static_cast<std::size_t>(n));
+      received.append(buffer, static_cast<std::size_t>(n));
     }
-    return got;
+    return received;
   }
-  void open() const {
+  void openWebSocket() const {
     send(websocket::handshakeRequest("x", websocket::generateKey()));
-    REQUIRE(read([](const std::string& s) { return has(s, "hello"); }).starts_with("HTTP/1.1 101"));
+    REQUIRE(read([](const std::string& s) { return contains(s, "hello"); }).starts_with("HTTP/1.1 101"));
   }
   static std::string frame(const std::string& text, char opcode = '\x81') {
     std::string out(1, opcode);
@@ -73,44 +77,45 @@
       out += static_cast<char>(text.size() >> 8);
       out += static_cast<char>(text.size() & 255);
     }
-    return out + std::string(4, '\0') + text;  // a mask of zeros is a mask
+    return out + std::string(4, '\0') + text;  // an all-zero masking key is valid
   }
-  // The close code that the director answers with; 0 where it closes without one.
+  // The close code that the director sends; 0 if it closes the connection without one.
   int closeCode() const {
-    const std::string got =
+    const std::string received =
         read([](const std::string& s) { return s.size() >= 4 && s.find('\x88') != std::string::npos; });
-    const std::size_t at = got.find('\x88');
-    if (at == std::string::npos || at + 3 >= got.size()) return 0;
-    return static_cast<unsigned char>(got[at + 2]) * 256 + static_cast<unsigned char>(got[at + 3]);
+    const std::size_t at = received.find('\x88');
+    if (at == std::string::npos || at + 3 >= received.size()) return 0;
+    return static_cast<unsigned char>(received[at + 2]) * 256 + static_cast<unsigned char>(received[at + 3]);
   }
 };
 
+// A director process on settings and a node list in a folder of its own.
 struct Director {
   std::string folder;
   pid_t pid = 0;
   int players = 0, admin = 0, grpc = 0;
-  rlim_t fileMost = 0;  // bytes that the next run may write to a file; 0: no bound
+  rlim_t maxFileBytes = 0;  // limit on the size of files that the next run writes; 0: none
 
   explicit Director(const std::string& nodes = "", const std::string& limits = "<limits/>",
                     const std::string& tls = "") {
-    std::string made = std::filesystem::temp_directory_path() / "lupinsill-director-XXXXXX";
-    folder = mkdtemp(made.data());
+    std::string pattern = std::filesystem::temp_directory_path() / "lupinsill-director-XXXXXX";
+    folder = mkdtemp(pattern.data());
     std::ifstream in(EXAMPLES "/small.xml");
     std::string text((std::istreambuf_iterator<char>(in)), std::istreambuf_iterator<char>());
-    const auto put = [&](const std::string& from, const std::string& to) {
+    const auto replace = [&](const std::string& from, const std::string& to) {
       text.replace(text.find(from), from.size(), to);
     };
-    put("127.0.0.1:7400", "127.0.0.1:0");
-    put("127.0.0.1:7401", "127.0.0.1:0");
-    put("127.0.0.1:7402", "127.0.0.1:0");
-    put("<limits/>", limits);
-    put("<list ", tls + "<list ");
+    replace("127.0.0.1:7400", "127.0.0.1:0");
+    replace("127.0.0.1:7401", "127.0.0.1:0");
+    replace("127.0.0.1:7402", "127.0.0.1:0");
+    replace("<limits/>", limits);
+    replace("<list ", tls + "<list ");
     if (!tls.empty()) certify("one");
     std::ofstream(folder + "/small.xml") << text;
-    list(1, nodes);
+    writeNodeList(1, nodes);
     start();
   }
-  // A certificate that stands for itself, and is its own authority.
+  // Creates a self-signed certificate and key, and a copy of the certificate under `name`.
   void certify(const std::string& name) const {
     const std::string command =
         "openssl req -x509 -newkey ec -pkeyopt ec_paramgen_curve:prime256v1 -nodes -days 2 "
@@ -119,7 +124,7 @@
         "/certificate.pem 2>/dev/null && cp " + folder + "/certificate.pem " + folder + "/" + name + ".pem";
     REQUIRE(std::system(command.c_str()) == 0);
   }
-  void list(int version, const std::string& nodes) const {
+  void writeNodeList(int version, const std::string& nodes) const {
     std::ofstream(folder + "/next") << "<nodes xmlns=\"urn:lupinsill:nodes:1\" version=\"" << version << "\">"
                                     << nodes << "</nodes>";
     std::filesystem::rename(folder + "/next", folder + "/small-nodes.xml");
@@ -129,11 +134,11 @@
     pid = fork();
     if (pid == 0) {
       prctl(PR_SET_PDEATHSIG, SIGKILL);
-      if (fileMost != 0) {
-        // A disk that is full: writes past it fail with EFBIG, the signal being ignored.
+      if (maxFileBytes != 0) {
+        // Simulates a full disk: with the signal ignored, writes past the limit fail with EFBIG.
         signal(SIGXFSZ, SIG_IGN);
-        const rlimit most{fileMost, fileMost};
-        setrlimit(RLIMIT_FSIZE, &most);
+        const rlimit limit{maxFileBytes, maxFileBytes};
+        setrlimit(RLIMIT_FSIZE, &limit);
       }
       const std::string config = folder + "/small.xml", ports = folder + "/ports", log = folder + "/log";
       if (freopen(log.c_str(), "a", stderr) == nullptr) _exit(1);
@@ -143,23 +148,23 @@
     for (int i = 0; i < 400 && admin == 0; ++i) {
       sleepMs(25);
       std::ifstream in(folder + "/ports");
-      std::string word;
-      in >> word >> players >> word >> admin >> word >> grpc;
+      std::string name;
+      in >> name >> players >> name >> admin >> name >> grpc;
     }
     REQUIRE(admin != 0);
   }
   int end(int signal) {
     kill(pid, signal);
-    return ended();
+    return waitForExit();
   }
-  // Waits until it ends by itself.
-  int ended() {
+  // Waits until the process ends. Returns its exit code, or the negative number of the signal that ended it.
+  int waitForExit() {
     int status = 0;
     waitpid(pid, &status, 0);
     pid = players = admin = grpc = 0;
     return WIFEXITED(status) ? WEXITSTATUS(status) : -WTERMSIG(status);
   }
-  // The next run listens where this one did, as in service.
+  // Makes the next run listen on the ports of this one, as in production.
   void keepPorts() const {
     std::ifstream in(folder + "/small.xml");
     std::string text((std::istreambuf_iterator<char>(in)), std::istreambuf_iterator<char>());
@@ -173,7 +178,7 @@
     if (pid != 0) end(SIGKILL);
     std::filesystem::remove_all(folder);
   }
-  std::string page(const std::string& path, const char* method = "GET") const {
+  std::string adminPage(const std::string& path, const char* method = "GET") const {
     return director::sendAdminRequest({"127.0.0.1", admin}, method, path).body;
   }
   std::string log() const {
@@ -182,12 +187,12 @@
   }
 };
 
-std::string askText(const std::string& id, const std::string& room = "recipe-clip") {
+std::string playRequest(const std::string& id, const std::string& room = "recipe-clip") {
   return R"({"type":"ask","id":")" + id + R"(","key":"front-1:k","viewer":"v","title":"t","room":")" + room +
          R"("})";
 }
 
-// A node that accepts one connection and is driven by the test.
+// A media node that accepts one connection and is driven by the test.
 struct Node {
   int listener, fd = -1, port;
   media::Reader reader;
@@ -206,10 +211,12 @@
     if (fd >= 0) close(fd);
     close(listener);
   }
+  // The node's element in the node list.
   std::string entry() const {
     return "<node id=\"1\" address=\"127.0.0.1:" + std::to_string(port) +
            "\" kind=\"two-core\" zone=\"north\" cell=\"0\"/>";
   }
+  // The next message that the director sends; empty after 5 s.
   media::Message next() {
     for (int i = 0; i < 100; ++i) {
       if (const auto message = reader.next()) return *message;
@@ -241,47 +248,47 @@
 
 }  // namespace
 
-TEST_CASE("Bad frames, bad JSON and bad messages get the close codes of the page, others are untouched") {
+TEST_CASE("Invalid frames, JSON and messages get their close codes, and other connections are unaffected") {
   Director d;
-  Socket bystander(d.players);
-  bystander.open();
+  RawClient bystander(d.players);
+  bystander.openWebSocket();
   const auto closed = [&](const std::string& bytes) {
-    Socket s(d.players);
-    s.open();
+    RawClient s(d.players);
+    s.openWebSocket();
     s.send(bytes);
     return s.closeCode();
   };
-  CHECK(closed(Socket::frame("{\"type\":")) == 1007);
-  CHECK(closed(Socket::frame("{\"type\":\"dance\"}")) == 1008);
-  CHECK(closed(Socket::frame("x", '\x82')) == 1003);
-  CHECK(closed(Socket::frame("\xff\xfe")) == 1007);
-  CHECK(closed(Socket::frame(std::string(5000, ' '))) == 1009);
+  CHECK(closed(RawClient::frame("{\"type\":")) == 1007);
+  CHECK(closed(RawClient::frame("{\"type\":\"dance\"}")) == 1008);
+  CHECK(closed(RawClient::frame("x", '\x82')) == 1003);
+  CHECK(closed(RawClient::frame("\xff\xfe")) == 1007);
+  CHECK(closed(RawClient::frame(std::string(5000, ' '))) == 1009);
   CHECK(closed("\x81\x05hello") == 1002);
-  bystander.send(Socket::frame(askText("a")));
-  CHECK(has(bystander.read([](const std::string& s) { return has(s, "throttled"); }), "throttled"));
-  Socket http(d.players);
+  bystander.send(RawClient::frame(playRequest("a")));
+  CHECK(contains(bystander.read([](const std::string& s) { return contains(s, "throttled"); }), "throttled"));
+  RawClient http(d.players);
   http.send("GET / HTTP/1.1\r\n\r\n");
-  CHECK(has(http.read([](const std::string& s) { return has(s, "\r\n\r\n"); }), "400"));
+  CHECK(contains(http.read([](const std::string& s) { return contains(s, "\r\n\r\n"); }), "400"));
   CHECK(d.end(SIGTERM) == 0);
 }
 
-TEST_CASE("One connection over the limit is told so at once") {
+TEST_CASE("A connection over the limit is refused at once with a retry time") {
   Director d("", "<limits connections=\"2\"/>");
-  Socket a(d.players), b(d.players);
-  a.open();
-  b.open();
-  Socket c(d.players);
-  const std::string got = c.read([](const std::string& s) { return has(s, "\r\n\r\n"); });
-  CHECK(has(got, "503"));
-  CHECK(has(got, "Retry-After"));
+  RawClient a(d.players), b(d.players);
+  a.openWebSocket();
+  b.openWebSocket();
+  RawClient c(d.players);
+  const std::string received = c.read([](const std::string& s) { return contains(s, "\r\n\r\n"); });
+  CHECK(contains(received, "503"));
+  CHECK(contains(received, "Retry-After"));
 }
 
-TEST_CASE("A join goes out as SETUP and PLAY in one heap and its end comes back to the player") {
+TEST_CASE("A join is sent as pipelined SETUP and PLAY, and its end reaches the player") {
   Node node;
   Director d(node.entry());
-  Socket player(d.players);
-  player.open();
-  player.send(Socket::frame(askText("a")));
+  RawClient player(d.players);
+  player.openWebSocket();
+  player.send(RawClient::frame(playRequest("a")));
   const media::Message setUp = node.next(), play = node.next();
   CHECK(setUp.method == "SETUP");
   CHECK(play.method == "PLAY");
@@ -289,168 +296,170 @@
   CHECK(setUp.header("Lupinsill-Ask") == "front-1%3Ak");
   node.answer(setUp, 200, "s1");
   node.answer(play, 200, "s1");
-  CHECK(has(player.read([](const std::string& s) { return has(s, "ticket"); }), "playing"));
-  CHECK(has(d.page("/status"), "\"subscriptions\": 1"));
-  CHECK(has(d.page("/metrics"), "lupinsill_answers_total{answer=\"playing\"} 1"));
-  media::Message over;
-  over.method = "PLAY_NOTIFY";
-  over.uri = "*";
-  over.headers = {{"CSeq", "1"}, {"Session", "s1"}, {"Notify-Reason", "end-of-stream"}};
-  node.send(over);
-  CHECK(has(player.read([](const std::string& s) { return has(s, "ended"); }), "finished"));
+  CHECK(contains(player.read([](const std::string& s) { return contains(s, "ticket"); }), "playing"));
+  CHECK(contains(d.adminPage("/status"), "\"subscriptions\": 1"));
+  CHECK(contains(d.adminPage("/metrics"), "lupinsill_answers_total{answer=\"playing\"} 1"));
+  media::Message endOfStream;
+  endOfStream.method = "PLAY_NOTIFY";
+  endOfStream.uri = "*";
+  endOfStream.headers = {{"CSeq", "1"}, {"Session", "s1"}, {"Notify-Reason", "end-of-stream"}};
+  node.send(endOfStream);
+  CHECK(contains(player.read([](const std::string& s) { return contains(s, "ended"); }), "finished"));
   CHECK(node.next().status == 200);
 }
 
-TEST_CASE("Garbage from a node ends its connection; what was written there may have run") {
+TEST_CASE("Invalid bytes from a node end its connection, and a paid join on it counts as possibly run") {
   Node node;
   Director d(node.entry());
-  Socket player(d.players);
-  player.open();
-  player.send(Socket::frame(askText("a", "paid-class")));
+  RawClient player(d.players);
+  player.openWebSocket();
+  player.send(RawClient::frame(playRequest("a", "paid-class")));
   node.next();
   ::send(node.fd, "HTTP/1.1 200 OK\r\n\r\n", 19, MSG_NOSIGNAL);
-  const std::string got = player.read([](const std::string& s) { return has(s, "reason"); });
-  CHECK(has(got, "terminated"));
-  CHECK(has(got, "may-have-run"));
+  const std::string received = player.read([](const std::string& s) { return contains(s, "reason"); });
+  CHECK(contains(received, "terminated"));
+  CHECK(contains(received, "may-have-run"));
 }
 
-TEST_CASE("A paid key that names another director sets nothing up; one that names none is no ask") {
+TEST_CASE("A paid key of another director causes no join, and one without a director is rejected") {
   Node node;
   Director d(node.entry());
-  Socket player(d.players);
-  player.open();
-  std::string text = askText("a", "paid-class");
+  RawClient player(d.players);
+  player.openWebSocket();
+  std::string text = playRequest("a", "paid-class");
   text.replace(text.find("front-1:"), 8, "front-2:");
-  player.send(Socket::frame(text));
-  CHECK(has(player.read([](const std::string& s) { return has(s, "reason"); }), "elsewhere"));
+  player.send(RawClient::frame(text));
+  CHECK(contains(player.read([](const std::string& s) { return contains(s, "reason"); }), "elsewhere"));
   text.replace(text.find("front-2:"), 8, "");
-  player.send(Socket::frame(text));
-  CHECK(has(player.read([](const std::string& s) { return has(s, "reason"); }), "error"));
+  player.send(RawClient::frame(text));
+  CHECK(contains(player.read([](const std::string& s) { return contains(s, "reason"); }), "error"));
   pollfd p{node.listener, POLLIN, 0};
   CHECK(poll(&p, 1, 200) == 0);
 }
 
-TEST_CASE("A paid join refused by its only node is throttled; REDIRECT from a node stops joins there") {
+TEST_CASE("A paid join refused by its only node is throttled, and REDIRECT marks a node as draining") {
   Node node;
   Director d(node.entry());
-  Socket player(d.players);
-  player.open();
-  player.send(Socket::frame(askText("a", "paid-class")));
+  RawClient player(d.players);
+  player.openWebSocket();
+  player.send(RawClient::frame(playRequest("a", "paid-class")));
   const media::Message setUp = node.next();
   node.next();
   node.answer(setUp, 453);
-  CHECK(has(player.read([](const std::string& s) { return has(s, "reason"); }), "throttled"));
+  CHECK(contains(player.read([](const std::string& s) { return contains(s, "reason"); }), "throttled"));
   media::Message redirect;
   redirect.method = "REDIRECT";
   redirect.uri = "*";
   redirect.headers = {{"CSeq", "1"}};
   node.send(redirect);
   CHECK(node.next().status == 200);
-  CHECK(has(d.page("/nodes"), "draining"));
+  CHECK(contains(d.adminPage("/nodes"), "draining"));
 }
 
-TEST_CASE("Settings that cannot be taken over are refused on reload, and the old ones stay") {
+TEST_CASE("A reload rejects changes that need a restart and invalid files, and keeps the old settings") {
   Director d;
   std::ifstream in(d.folder + "/small.xml");
   std::string text((std::istreambuf_iterator<char>(in)), std::istreambuf_iterator<char>());
   text.replace(text.find("grace=\"2s\""), 10, "grace=\"3s\"");
   std::ofstream(d.folder + "/small.xml") << text;
   kill(d.pid, SIGHUP);
-  for (int i = 0; i < 100 && !has(d.log(), "reload-refused"); ++i) sleepMs(20);
-  CHECK(has(d.log(), "reload-refused needs a restart=rules"));
+  for (int i = 0; i < 100 && !contains(d.log(), "reload-refused"); ++i) sleepMs(20);
+  CHECK(contains(d.log(), "reload-refused needs a restart=rules"));
   std::ofstream(d.folder + "/small.xml") << "<lupinsill";
   kill(d.pid, SIGHUP);
-  for (int i = 0; i < 100 && !has(d.log(), "why="); ++i) sleepMs(20);
-  CHECK(has(d.page("/status"), "\"draining\": false"));
+  for (int i = 0; i < 100 && !contains(d.log(), "why="); ++i) sleepMs(20);
+  CHECK(contains(d.adminPage("/status"), "\"draining\": false"));
 }
 
-TEST_CASE("After a kill the director starts from its last list, though the list itself is gone") {
+TEST_CASE("After a kill the director starts from its saved node list although the list file is missing") {
   Node node;
   Director d(node.entry());
   for (int i = 0; i < 100 && !std::filesystem::exists(d.folder + "/small-nodes.kept.xml"); ++i) sleepMs(20);
   CHECK(d.end(SIGKILL) == -SIGKILL);
   std::filesystem::remove(d.folder + "/small-nodes.xml");
   d.start();
-  CHECK(has(d.page("/nodes"), std::to_string(node.port)));
-  // A list cut off in the middle is refused, said so, and changes nothing.
+  CHECK(contains(d.adminPage("/nodes"), std::to_string(node.port)));
+  // A truncated list is rejected, is reported in the status and changes nothing.
   std::ofstream(d.folder + "/small-nodes.xml")
       << "<nodes xmlns=\"urn:lupinsill:nodes:1\" version=\"9\"><node id=";
-  for (int i = 0; i < 100 && !has(d.page("/status"), "complaint"); ++i) sleepMs(20);
-  CHECK(has(d.page("/status"), "complaint"));
-  CHECK(has(d.page("/nodes"), std::to_string(node.port)));
+  for (int i = 0; i < 100 && !contains(d.adminPage("/status"), "complaint"); ++i) sleepMs(20);
+  CHECK(contains(d.adminPage("/status"), "complaint"));
+  CHECK(contains(d.adminPage("/nodes"), std::to_string(node.port)));
 }
 
-TEST_CASE("A drain refuses new asks at once, lets go on what plays, and then ends the process") {
+TEST_CASE("A drain throttles new requests, lets subscriptions play on, and then ends the process") {
   Node node;
   Director d(node.entry());
-  Socket player(d.players);
-  player.open();
-  player.send(Socket::frame(askText("a")));
+  RawClient player(d.players);
+  player.openWebSocket();
+  player.send(RawClient::frame(playRequest("a")));
   const media::Message setUp = node.next(), play = node.next();
   node.answer(setUp, 200, "s1");
   node.answer(play, 200, "s1");
-  player.read([](const std::string& s) { return has(s, "playing"); });
-  d.page("/drain", "POST");
-  player.send(Socket::frame(askText("b")));
-  const std::string no = player.read([](const std::string& s) { return has(s, "throttled"); });
-  CHECK(has(no, "draining"));
-  CHECK(has(no, "retryAfterMs"));
-  player.send(Socket::frame("{\"type\":\"leave\",\"id\":\"a\"}"));
+  player.read([](const std::string& s) { return contains(s, "playing"); });
+  d.adminPage("/drain", "POST");
+  player.send(RawClient::frame(playRequest("b")));
+  const std::string refusal = player.read([](const std::string& s) { return contains(s, "throttled"); });
+  CHECK(contains(refusal, "draining"));
+  CHECK(contains(refusal, "retryAfterMs"));
+  player.send(RawClient::frame("{\"type\":\"leave\",\"id\":\"a\"}"));
   CHECK(node.next().method == "TEARDOWN");
-  CHECK(d.ended() == 0);
+  CHECK(d.waitForExit() == 0);
 }
 
 namespace {
 
-void spin(event_base* base, int ms, const std::function<bool()>& enough) {
-  for (int i = 0; i < ms / 10 && !enough(); ++i) {
+void runLoop(event_base* base, int ms, const std::function<bool()>& done) {
+  for (int i = 0; i < ms / 10 && !done(); ++i) {
     const timeval wait{0, 10'000};
     event_base_loopexit(base, &wait);
     event_base_dispatch(base);
   }
 }
 
-struct Asked {
+// A player that uses the client library.
+struct ClientPlayer {
   net::EventBase base{event_base_new()};
   client::SessionClient client;
-  client::Heard heard;
+  client::Heard result;
   int results = 0, ends = 0;
   std::string end;
-  client::RequestId wish = 0;
-  explicit Asked(std::vector<int> ports, bool grpc = false)
+  client::RequestId requestId = 0;
+  explicit ClientPlayer(std::vector<int> ports, bool grpc = false)
       : client(base.get(), grpc ? client::makeGrpc(base.get()) : client::makeWebSocket(base.get()), at(ports),
-               manners(), 3) {}
+               retryPolicy(), 3) {}
   static std::vector<client::DirectorEndpoint> at(const std::vector<int>& ports) {
     std::vector<client::DirectorEndpoint> list;
     for (const int port : ports) list.push_back({"127.0.0.1:" + std::to_string(port), "here"});
     return list;
   }
-  static client::RetryPolicy manners() {
+  static client::RetryPolicy retryPolicy() {
     client::RetryPolicy m;
     m.building = "here";
     return m;
   }
-  void ask(const std::string& room, client::Micros timeout = 20'000'000) {
-    client::Want want{"v", "t", room, room == "paid-class"};
-    want.timeout = timeout;
-    wish = client.ask(
-        want, [this](client::RequestId, const client::Heard& h) { heard = h, ++results; },
+  void request(const std::string& room, client::Micros timeout = 20'000'000) {
+    client::Want clientRequest{"v", "t", room, room == "paid-class"};
+    clientRequest.timeout = timeout;
+    requestId = client.ask(
+        clientRequest, [this](client::RequestId, const client::Heard& answer) { result = answer, ++results; },
         [this](client::RequestId, const std::string& why, client::Micros) { end = why, ++ends; });
   }
-  void until(const std::function<bool()>& enough) { spin(base.get(), 15'000, enough); }
+  void until(const std::function<bool()>& done) { runLoop(base.get(), 15'000, done); }
 };
 
 }  // namespace
 
-TEST_CASE("Client library: a paid ask whose director is killed before it answers is never set up again") {
+TEST_CASE(
+    "Client library: a paid request is not set up again after its director is killed before the answer") {
   Node node;
   Director d(node.entry());
   d.keepPorts();
   const bool grpc = GENERATE(false, true);
 
-  Asked player({grpc ? d.grpc : d.players}, grpc);
-  player.ask("paid-class");
-  // The join has reached its node; the answer never comes, and the director dies.
+  ClientPlayer player({grpc ? d.grpc : d.players}, grpc);
+  player.request("paid-class");
+  // The join has reached its node, but the director is killed before it can answer.
   std::thread loop([&] { player.until([&] { return player.results > 0; }); });
   const media::Message setUp = node.next();
   CHECK(setUp.method == "SETUP");
@@ -462,137 +471,139 @@
   d.start();
   loop.join();
   REQUIRE(player.results == 1);
-  CHECK(player.heard.result == client::Result::terminated);
-  CHECK(player.heard.reason == "may-have-run");
-  // No second SETUP has come.
+  CHECK(player.result.result == client::Result::terminated);
+  CHECK(player.result.reason == "may-have-run");
+  // No second SETUP arrives.
   pollfd p{node.listener, POLLIN, 0};
   CHECK(poll(&p, 1, 300) == 0);
 }
 
-TEST_CASE("Client library: plays, ends, and goes past a director that is not there") {
+TEST_CASE("Client library: a request plays and is left, past a director that is not running") {
   Node node;
   Director d(node.entry());
-  int dead = 0;
+  int deadPort = 0;
   {
-    const Node gone;
-    dead = gone.port;
+    const Node stopped;
+    deadPort = stopped.port;
   }
   const bool grpc = GENERATE(false, true);
-  Asked player({dead, grpc ? d.grpc : d.players}, grpc);
-  player.ask("recipe-clip");
+  ClientPlayer player({deadPort, grpc ? d.grpc : d.players}, grpc);
+  player.request("recipe-clip");
   std::thread loop([&] { player.until([&] { return player.results > 0; }); });
   const media::Message setUp = node.next(), play = node.next();
   node.answer(setUp, 200, "s1");
   node.answer(play, 200, "s1");
   loop.join();
   REQUIRE(player.results == 1);
-  CHECK(player.heard.result == client::Result::playing);
-  CHECK_FALSE(player.heard.ticket.empty());
-  player.client.leave(player.wish);
-  spin(player.base.get(), 200, [] { return false; });
+  CHECK(player.result.result == client::Result::playing);
+  CHECK_FALSE(player.result.ticket.empty());
+  player.client.leave(player.requestId);
+  runLoop(player.base.get(), 200, [] { return false; });
   CHECK(node.next().method == "TEARDOWN");
 }
 
-TEST_CASE("Client library: nobody there is told well before the timeout") {
-  int dead = 0;
+TEST_CASE("Client library: with no director reachable, a request fails before its timeout") {
+  int deadPort = 0;
   {
-    const Node gone;
-    dead = gone.port;
+    const Node stopped;
+    deadPort = stopped.port;
   }
-  Asked player({dead}, GENERATE(false, true));
-  player.ask("paid-class", 5'000'000);
+  ClientPlayer player({deadPort}, GENERATE(false, true));
+  player.request("paid-class", 5'000'000);
   player.until([&] { return player.results > 0; });
   REQUIRE(player.results == 1);
-  CHECK(player.heard.result == client::Result::unreachable);
+  CHECK(player.result.result == client::Result::unreachable);
 }
 
-TEST_CASE("The same paid ask over the other protocol is answered from the first join") {
+TEST_CASE("Repeats of a paid request over the other protocol are answered from the first join") {
   Node node;
   Director d(node.entry());
-  Socket player(d.players);
-  player.open();
-  player.send(Socket::frame(askText("a", "paid-class")));
+  RawClient player(d.players);
+  player.openWebSocket();
+  player.send(RawClient::frame(playRequest("a", "paid-class")));
   const media::Message setUp = node.next(), play = node.next();
-  // While the first join is out, and its socket cut.
+  // The repeats are sent while the first join is in flight; then the socket of the first request is closed.
   const net::EventBase base(event_base_new());
   struct Handler final : client::LinkHandler {
     std::unique_ptr<client::Link> link;
     std::vector<session_api::AnswerMessage> answers;
     void onHello(const std::string&) override {
-      session_api::PlayMessage ask;
-      ask.key = "front-1:k", ask.viewer = "v", ask.title = "t", ask.room = "paid-class";
-      link->ask(ask);
+      session_api::PlayMessage message;
+      message.key = "front-1:k", message.viewer = "v", message.title = "t", message.room = "paid-class";
+      link->ask(message);
     }
     void onAnswer(const session_api::AnswerMessage& answer) override { answers.push_back(answer); }
     void onLost(bool) override {}
   };
-  // Twenty repeats at once, on one connection.
+  // Twenty simultaneous repeats on one connection.
   const auto transport = client::makeGrpc(base.get());
-  std::vector<Handler> ears(20);
-  for (Handler& handler : ears)
+  std::vector<Handler> handlers(20);
+  for (Handler& handler : handlers)
     handler.link = transport->open("127.0.0.1:" + std::to_string(d.grpc), 3'000'000, handler);
-  spin(base.get(), 300, [] { return false; });
+  runLoop(base.get(), 300, [] { return false; });
   shutdown(player.fd, SHUT_RDWR);
   node.answer(setUp, 200, "s1");
   node.answer(play, 200, "s1");
-  const auto all = [&] {
-    return std::all_of(ears.begin(), ears.end(), [](const Handler& e) { return !e.answers.empty(); });
+  const auto allAnswered = [&] {
+    return std::all_of(handlers.begin(), handlers.end(),
+                       [](const Handler& handler) { return !handler.answers.empty(); });
   };
-  spin(base.get(), 5000, all);
-  REQUIRE(all());
-  for (const Handler& handler : ears) {
+  runLoop(base.get(), 5000, allAnswered);
+  REQUIRE(allAnswered());
+  for (const Handler& handler : handlers) {
     CHECK(handler.answers.size() == 1);
     CHECK(handler.answers[0].kind == session_api::AnswerKind::playing);
-    CHECK(handler.answers[0].subscription == ears[0].answers[0].subscription);
+    CHECK(handler.answers[0].subscription == handlers[0].answers[0].subscription);
   }
-  CHECK(has(d.page("/metrics"), "lupinsill_joins_total{join=\"first\"} 1"));
-  // One that leaves ends it for none of the others.
-  ears[0].link->leave();
-  spin(base.get(), 200, [] { return false; });
-  CHECK(has(d.page("/status"), "\"subscriptions\": 1"));
-  ears.clear();
+  CHECK(contains(d.adminPage("/metrics"), "lupinsill_joins_total{join=\"first\"} 1"));
+  // The subscription goes on for the others when one of them leaves.
+  handlers[0].link->leave();
+  runLoop(base.get(), 200, [] { return false; });
+  CHECK(contains(d.adminPage("/status"), "\"subscriptions\": 1"));
+  handlers.clear();
 }
 
-TEST_CASE("A drain over gRPC ends no call: what plays goes on, and each connection is told twice") {
+TEST_CASE("A drain over gRPC ends no call, and each connection gets GOAWAY in two steps") {
   Node node;
   Director d(node.entry());
-  // A connection that has no call: HTTP/2's preface and an empty SETTINGS, frames read by hand.
-  Socket idle(d.grpc);
+  // A connection without a call: it sends the HTTP/2 preface and an empty SETTINGS frame.
+  RawClient idle(d.grpc);
   idle.send("PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n" + std::string("\0\0\0\4\0\0\0\0\0", 9));
-  Asked player({d.grpc}, true);
-  player.ask("recipe-clip");
+  ClientPlayer player({d.grpc}, true);
+  player.request("recipe-clip");
   std::thread loop([&] { player.until([&] { return player.results > 0; }); });
   const media::Message setUp = node.next(), play = node.next();
   node.answer(setUp, 200, "s1");
   node.answer(play, 200, "s1");
   loop.join();
   REQUIRE(player.results == 1);
-  d.page("/drain", "POST");
-  spin(player.base.get(), 1500, [] { return false; });
+  d.adminPage("/drain", "POST");
+  runLoop(player.base.get(), 1500, [] { return false; });
   CHECK(player.ends == 0);
-  CHECK(has(d.page("/status"), "\"subscriptions\": 1"));
-  const std::string heard = idle.read([](const std::string&) { return false; });
-  std::vector<unsigned> goaways;  // the last stream that each one names
-  for (std::size_t at = 0; at + 9 <= heard.size();) {
+  CHECK(contains(d.adminPage("/status"), "\"subscriptions\": 1"));
+  const std::string bytes = idle.read([](const std::string&) { return false; });
+  std::vector<unsigned> goaways;  // the last stream ID of each GOAWAY frame
+  for (std::size_t at = 0; at + 9 <= bytes.size();) {
     const auto byte = [&](std::size_t i) {
-      return static_cast<unsigned>(static_cast<unsigned char>(heard[at + i]));
+      return static_cast<unsigned>(static_cast<unsigned char>(bytes[at + i]));
     };
     const std::size_t size = byte(0) << 16 | byte(1) << 8 | byte(2);
     if (byte(3) == 7) goaways.push_back(byte(9) << 24 | byte(10) << 16 | byte(11) << 8 | byte(12));
     at += 9 + size;
   }
   REQUIRE(goaways.size() >= 2);
-  CHECK(goaways[0] == 0x7fffffff);  // open no more, those on their way are taken
-  CHECK(goaways[1] == 0);           // none was
-  player.client.leave(player.wish);
-  spin(player.base.get(), 300, [] { return false; });
+  CHECK(goaways[0] == 0x7fffffff);  // shutdown notice: streams already on their way are still accepted
+  CHECK(goaways[1] == 0);           // no stream was accepted
+  player.client.leave(player.requestId);
+  runLoop(player.base.get(), 300, [] { return false; });
   CHECK(node.next().method == "TEARDOWN");
-  CHECK(d.ended() == 0);
+  CHECK(d.waitForExit() == 0);
 }
 
 namespace {
 
-// What a player of this authority hears of a director that has no node: "throttled" where TLS stands.
+// The result of a request to a director without nodes, from a player that trusts `authority`: throttled if
+// the TLS handshake succeeds.
 client::Result overTls(const Director& d, bool grpc, const std::string& authority) {
   const net::Tls tls(net::Tls::Side::client, {"", "", d.folder + "/" + authority + ".pem"},
                      grpc ? "h2" : "http/1.1");
@@ -602,87 +613,89 @@
   const net::EventBase base(event_base_new());
   client::SessionClient client(
       base.get(), grpc ? client::makeGrpc(base.get(), connect) : client::makeWebSocket(base.get(), connect),
-      Asked::at({grpc ? d.grpc : d.players}), Asked::manners(), 5);
+      ClientPlayer::at({grpc ? d.grpc : d.players}), ClientPlayer::retryPolicy(), 5);
   std::optional<client::Result> result;
-  client::Want want{"v", "t", "recipe-clip"};
-  want.timeout = 2'000'000;
-  client.ask(want, [&](client::RequestId, const client::Heard& heard) { result = heard.result; });
-  spin(base.get(), 6000, [&] { return result.has_value(); });
+  client::Want clientRequest{"v", "t", "recipe-clip"};
+  clientRequest.timeout = 2'000'000;
+  client.ask(clientRequest, [&](client::RequestId, const client::Heard& answer) { result = answer.result; });
+  runLoop(base.get(), 6000, [&] { return result.has_value(); });
   REQUIRE(result.has_value());
   return *result;
 }
 
 }  // namespace
 
-TEST_CASE("Players over TLS on both protocols; a renewed certificate is taken over without a restart") {
+TEST_CASE("Players connect over TLS on both protocols, and a reload replaces the certificate") {
   Director d("", "<limits/>", "<tls certificate=\"certificate.pem\" key=\"key.pem\"/>");
   CHECK(overTls(d, false, "one") == client::Result::throttled);
   CHECK(overTls(d, true, "one") == client::Result::throttled);
-  // One that speaks plainly is no player here, and holds up nobody.
-  Socket plain(d.players);
+  // A client without TLS gets no WebSocket connection and does not block others.
+  RawClient plain(d.players);
   plain.send("GET / HTTP/1.1\r\n\r\n");
-  CHECK_FALSE(has(plain.read([](const std::string& s) { return has(s, "HTTP"); }), "101"));
+  CHECK_FALSE(contains(plain.read([](const std::string& s) { return contains(s, "HTTP"); }), "101"));
   d.certify("two");
   kill(d.pid, SIGHUP);
-  for (int i = 0; i < 100 && !has(d.log(), "reloaded"); ++i) sleepMs(20);
+  for (int i = 0; i < 100 && !contains(d.log(), "reloaded"); ++i) sleepMs(20);
   CHECK(overTls(d, false, "two") == client::Result::throttled);
   CHECK(overTls(d, true, "two") == client::Result::throttled);
   CHECK(overTls(d, false, "one") == client::Result::unreachable);
-  // A key that does not fit is refused whole, and the certificates of before stay.
+  // A certificate that does not match the key is rejected, and the previous certificates stay in use.
   std::filesystem::copy_file(d.folder + "/one.pem", d.folder + "/certificate.pem",
                              std::filesystem::copy_options::overwrite_existing);
   kill(d.pid, SIGHUP);
-  for (int i = 0; i < 100 && !has(d.log(), "key values mismatch"); ++i) sleepMs(20);
-  CHECK(has(d.log(), "key.pem: key cannot be used"));
+  for (int i = 0; i < 100 && !contains(d.log(), "key values mismatch"); ++i) sleepMs(20);
+  CHECK(contains(d.log(), "key.pem: key cannot be used"));
   CHECK(overTls(d, true, "two") == client::Result::throttled);
 }
 
-TEST_CASE("A media node has to show a certificate of its authority before a join is written there") {
-  Node node;  // speaks plainly
+TEST_CASE("No join is sent to a media node that does not complete the TLS handshake") {
+  Node node;  // without TLS
   Director d(node.entry(), "<limits/>", "<tls nodes-authority=\"certificate.pem\"/>");
-  Socket player(d.players);
-  player.open();
-  player.send(Socket::frame(askText("a", "paid-class")));
-  // The node answers the handshake with something else; provably nothing ran.
+  RawClient player(d.players);
+  player.openWebSocket();
+  player.send(RawClient::frame(playRequest("a", "paid-class")));
+  // The node answers the handshake with plain RTSP. The join was never sent, so the paid request is
+  // throttled.
   for (int i = 0; i < 100 && node.fd < 0; ++i) {
     pollfd p{node.listener, POLLIN, 0};
     if (poll(&p, 1, 50) > 0) node.fd = accept(node.listener, nullptr, nullptr);
   }
   char hello[16];
   REQUIRE(recv(node.fd, hello, sizeof hello, 0) > 0);
-  CHECK(hello[0] == 0x16);  // a TLS handshake, and no SETUP
+  CHECK(hello[0] == 0x16);  // the record type of a TLS handshake
   ::send(node.fd, "RTSP/2.0 200 OK\r\n\r\n", 19, MSG_NOSIGNAL);
-  CHECK(has(player.read([](const std::string& s) { return has(s, "reason"); }), "throttled"));
+  CHECK(contains(player.read([](const std::string& s) { return contains(s, "reason"); }), "throttled"));
 }
 
-TEST_CASE("A disk that is full: paid asks are refused at once and no join leaves; safe ones go on") {
+TEST_CASE("With a full disk, paid requests are throttled without a join and repeatable ones go on") {
   Node node;
   Director d(node.entry());
   CHECK(d.end(SIGKILL) == -SIGKILL);
-  d.fileMost = 12'288;
+  d.maxFileBytes = 12'288;
   d.start();
-  Socket player(d.players);
-  player.open();
+  RawClient player(d.players);
+  player.openWebSocket();
   const auto start = std::chrono::steady_clock::now();
-  player.send(Socket::frame(askText("a", "paid-class")));
-  const std::string no = player.read([](const std::string& s) { return has(s, "reason"); });
-  CHECK(has(no, "throttled"));
-  CHECK(has(no, "busy"));
+  player.send(RawClient::frame(playRequest("a", "paid-class")));
+  const std::string refusal = player.read([](const std::string& s) { return contains(s, "reason"); });
+  CHECK(contains(refusal, "throttled"));
+  CHECK(contains(refusal, "busy"));
   CHECK(std::chrono::steady_clock::now() - start < std::chrono::seconds(2));
-  for (int i = 0; i < 100 && !has(d.log(), "ledger-failed"); ++i) sleepMs(20);
-  CHECK(has(d.log(), "ledger-failed"));
-  // The node's room for newcomers is ramped: a safe ask may have to come again.
-  pollfd comes{node.listener, POLLIN, 0};
-  for (int i = 0; i < 20 && poll(&comes, 1, 300) == 0; ++i)
-    player.send(Socket::frame(askText("b" + std::to_string(i))));
+  for (int i = 0; i < 100 && !contains(d.log(), "ledger-failed"); ++i) sleepMs(20);
+  CHECK(contains(d.log(), "ledger-failed"));
+  // The capacity for new joins of a node is ramped up, so a repeatable request may first be throttled.
+  pollfd connectionPending{node.listener, POLLIN, 0};
+  for (int i = 0; i < 20 && poll(&connectionPending, 1, 300) == 0; ++i)
+    player.send(RawClient::frame(playRequest("b" + std::to_string(i))));
   const media::Message setUp = node.next(), play = node.next();
-  CHECK(has(setUp.uri, "recipe-clip"));  // and nothing paid before it
+  CHECK(contains(setUp.uri, "recipe-clip"));  // no paid join was sent before it
   node.answer(setUp, 200, "s1");
   node.answer(play, 200, "s1");
-  CHECK(has(player.read([](const std::string& s) { return has(s, "ticket"); }), "playing"));
+  CHECK(contains(player.read([](const std::string& s) { return contains(s, "ticket"); }), "playing"));
 }
 
-TEST_CASE("A paid key replayed within its memory is known for one; after it, it is a key like any other") {
+TEST_CASE(
+    "A paid key repeated within its retention is not set up again, also after a restart, but is later") {
   Node node;
   Director d(node.entry());
   CHECK(d.end(SIGKILL) == -SIGKILL);
@@ -691,33 +704,34 @@
   text.replace(text.find("<answers/>"), 10, "<answers key-memory=\"2s\"/>");
   std::ofstream(d.folder + "/small.xml") << text;
   d.start();
-  Socket player(d.players);
-  player.open();
-  const auto said = [&](const std::string& id) {
-    player.send(Socket::frame(askText(id, "paid-class")));
-    return player.read([](const std::string& s) { return has(s, "reason") || has(s, "ticket"); });
+  RawClient player(d.players);
+  player.openWebSocket();
+  const auto answerTo = [&](const std::string& id) {
+    player.send(RawClient::frame(playRequest(id, "paid-class")));
+    return player.read([](const std::string& s) { return contains(s, "reason") || contains(s, "ticket"); });
   };
-  player.send(Socket::frame(askText("a", "paid-class")));
+  player.send(RawClient::frame(playRequest("a", "paid-class")));
   const media::Message setUp = node.next(), play = node.next();
   node.answer(setUp, 200, "s1");
   node.answer(play, 200, "s1");
-  CHECK(has(player.read([](const std::string& s) { return has(s, "ticket"); }), "playing"));
-  player.send(Socket::frame("{\"type\":\"leave\",\"id\":\"a\"}"));
+  CHECK(contains(player.read([](const std::string& s) { return contains(s, "ticket"); }), "playing"));
+  player.send(RawClient::frame("{\"type\":\"leave\",\"id\":\"a\"}"));
   CHECK(node.next().method == "TEARDOWN");
-  CHECK(has(said("b"), "\"ended\""));
-  // Also after a restart, for what is left of its time.
+  CHECK(contains(answerTo("b"), "\"ended\""));
+  // After a restart, the key is remembered for the rest of its retention.
   CHECK(d.end(SIGKILL) == -SIGKILL);
   close(node.fd);
   node.fd = -1;
   node.reader = media::Reader();
   d.start();
-  Socket again(d.players);
-  again.open();
-  again.send(Socket::frame(askText("c", "paid-class")));
-  CHECK(has(again.read([](const std::string& s) { return has(s, "reason"); }), "terminated"));
+  RawClient secondPlayer(d.players);
+  secondPlayer.openWebSocket();
+  secondPlayer.send(RawClient::frame(playRequest("c", "paid-class")));
+  CHECK(
+      contains(secondPlayer.read([](const std::string& s) { return contains(s, "reason"); }), "terminated"));
   sleepMs(2500);
-  pollfd comes{node.listener, POLLIN, 0};
-  for (int i = 0; i < 20 && poll(&comes, 1, 300) == 0; ++i)
-    again.send(Socket::frame(askText("d" + std::to_string(i), "paid-class")));
+  pollfd connectionPending{node.listener, POLLIN, 0};
+  for (int i = 0; i < 20 && poll(&connectionPending, 1, 300) == 0; ++i)
+    secondPlayer.send(RawClient::frame(playRequest("d" + std::to_string(i), "paid-class")));
   CHECK(node.next().method == "SETUP");
 }
