--- a/src/director/director.cpp
+++ b/src/director/director.cpp
@@ -739,7 +739,8 @@
        {"unruly", toDouble(callCounts.abusive)},
        {"closed", toDouble(webSocket.closed + (calls_ ? calls_->statistics().closed : 0))},
        {"too-slow", toDouble(webSocket.slow)},
-       {"bad-message", toDouble(webSocket.badMessages + (calls_ ? calls_->statistics().badWords : 0))}},
+       {"bad-message",
+        toDouble(webSocket.badMessages + (calls_ ? calls_->statistics().invalidMessages : 0))}},
       "what");
   add("lupinsill_calls", "Open calls on player connections", false, {{"", toDouble(callCounts.open)}});
   add("lupinsill_calls_total", "Calls on player connections, by outcome", true,
--- a/src/grpc/calls.cpp
+++ b/src/grpc/calls.cpp
@@ -5,11 +5,14 @@
 namespace lupinsill::grpc {
 namespace {
 
+// Streams per connection beyond the limit on its Play calls.
+constexpr std::size_t extraStreams = 8;
+
 Http2Limits http2Limits(const settings::SocketLimits& limits) {
   Http2Limits out;
-  // A few above the desk's bound, so that the desk is what answers, with a time to come back; and room for
-  // health and the like.
-  out.streams = static_cast<std::size_t>(limits.asksPerSocket) + 8;
+  // Above the call manager's limit, so that a call over that limit is answered with a retry time instead of
+  // being refused by HTTP/2, and so that the other methods have streams left.
+  out.streams = static_cast<std::size_t>(limits.asksPerSocket) + extraStreams;
   out.unsentBytes = limits.unsentBytes;
   out.handshake = limits.handshake;
   out.pingEvery = limits.pingEvery;
@@ -19,12 +22,12 @@
 
 }  // namespace
 
-Calls::Calls(event_base* base, session_api::Handler& handler, admission::CallManager& desk,
+Calls::Calls(event_base* base, session_api::Handler& handler, admission::CallManager& callManager,
              std::string director, const settings::Endpoint& at, const settings::SocketLimits& limits,
              net::Accept accept)
     : base_(base),
       handler_(handler),
-      desk_(desk),
+      callManager_(callManager),
       director_(std::move(director)),
       limits_(limits),
       accept_(std::move(accept)) {
@@ -33,33 +36,33 @@
 
 void Calls::setLimits(const settings::SocketLimits& limits) { limits_ = limits; }
 
-void Calls::onAccept(evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* me) {
-  static_cast<Calls*>(me)->accept(fd);
+void Calls::onAccept(evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* context) {
+  static_cast<Calls*>(context)->accept(fd);
 }
 
 void Calls::accept(evutil_socket_t fd) {
   net::noDelay(fd);
   net::BufferEvent bufferEvent = accept_(base_, fd);
   if (!bufferEvent) return;
-  const admission::AcceptResult arrival = desk_.acceptPeer(net::monotonicNow());
-  const std::uint64_t id = arrival.accepted ? arrival.peer : ~++refused_;
+  const admission::AcceptResult acceptResult = callManager_.acceptPeer(net::monotonicNow());
+  const std::uint64_t id = acceptResult.accepted ? acceptResult.peer : ~++rejectedPeers_;
   Peer& peer = peers_[id];
   peer.connection = std::make_unique<Http2>(std::move(bufferEvent), *this, http2Limits(limits_), true);
   peer.connection->tag = id;
-  // GOAWAY with no stream taken: the client knows that nothing of it ran, and where the trouble is.
-  if (!arrival.accepted) peer.connection->close(NGHTTP2_ENHANCE_YOUR_CALM);
+  // A GOAWAY that names no stream tells the client that none of its calls ran, and why.
+  if (!acceptResult.accepted) peer.connection->close(NGHTTP2_ENHANCE_YOUR_CALM);
 }
 
-// ---- words in ----
+// ---- receiving ----
 
-Headers Calls::head() const {
+Headers Calls::responseHeaders() const {
   return {{":status", "200"}, {"content-type", "application/grpc"}, {"lupinsill-director", director_}};
 }
 
-void Calls::sendHead(Http2& connection, StreamId stream, Call& call) {
-  if (call.headSent) return;
-  call.headSent = true;
-  connection.respond(stream, head(), false);
+void Calls::sendResponseHeaders(Http2& connection, StreamId stream, Call& call) {
+  if (call.headersSent) return;
+  call.headersSent = true;
+  connection.respond(stream, responseHeaders(), false);
 }
 
 void Calls::finish(Http2& connection, StreamId stream, const Headers& trailers) {
@@ -67,19 +70,20 @@
   if (peer == peers_.end()) return;
   const auto it = peer->second.calls.find(stream);
   if (it == peer->second.calls.end()) return;
-  const bool headSent = it->second.headSent;
-  lines_.erase(it->second.callId);
+  const bool headersSent = it->second.headersSent;
+  callLocations_.erase(it->second.callId);
   peer->second.calls.erase(it);
-  if (headSent) return connection.trailers(stream, trailers);
-  // "Trailers-Only": a client's own retries are allowed by it alone, and only of what never ran.
-  Headers whole = head();
-  whole.insert(whole.end(), trailers.begin(), trailers.end());
-  connection.respond(stream, whole, true);
+  if (headersSent) return connection.trailers(stream, trailers);
+  // gRPC retries a call automatically only after a Trailers-Only response like this one; trailersOf() forbids
+  // the retry of calls that may have run.
+  Headers responseWithTrailers = responseHeaders();
+  responseWithTrailers.insert(responseWithTrailers.end(), trailers.begin(), trailers.end());
+  connection.respond(stream, responseWithTrailers, true);
 }
 
 void Calls::onHeaders(Http2& connection, StreamId stream, const Headers& headers) {
   const auto at = peers_.find(connection.tag);
-  if (at == peers_.end() || at->second.calls.contains(stream)) return;  // trailers of a caller mean nothing
+  if (at == peers_.end() || at->second.calls.contains(stream)) return;  // trailers of the client
   Peer& peer = at->second;
   if (!headerValue(headers, "content-type").starts_with("application/grpc"))
     return connection.respond(stream, {{":status", "415"}}, true);
@@ -90,9 +94,9 @@
   const std::string_view path = headerValue(headers, ":path");
   const std::string_view encoding = headerValue(headers, "grpc-encoding");
   if (!encoding.empty() && encoding != "identity") {
-    Headers no = trailersOf(Status::unimplemented, "compressed messages are not taken");
-    no.emplace_back("grpc-accept-encoding", "identity");
-    return finish(connection, stream, no);
+    Headers trailers = trailersOf(Status::unimplemented, "compressed messages are not taken");
+    trailers.emplace_back("grpc-accept-encoding", "identity");
+    return finish(connection, stream, trailers);
   }
   std::optional<Micros> timeout;
   if (const std::string_view text = headerValue(headers, "grpc-timeout"); !text.empty()) {
@@ -106,17 +110,17 @@
   } else if (path == watchPath) {
     call.method = Method::watch;
   } else if (path == playPath) {
-    const admission::OpenResult opened = desk_.open(net::monotonicNow(), connection.tag, timeout);
+    const admission::OpenResult opened = callManager_.open(net::monotonicNow(), connection.tag, timeout);
     if (opened.error == admission::OpenError::abusive) return connection.close(NGHTTP2_ENHANCE_YOUR_CALM);
     if (opened.error == admission::OpenError::tooManyCalls) {
-      session_api::AnswerMessage no;
-      no.kind = session_api::AnswerKind::throttled;
-      no.reason = "busy";
-      no.retryAfter = opened.retryAfter;
-      return finish(connection, stream, trailersOf(no));
+      session_api::AnswerMessage answer;
+      answer.kind = session_api::AnswerKind::throttled;
+      answer.reason = "busy";
+      answer.retryAfter = opened.retryAfter;
+      return finish(connection, stream, trailersOf(answer));
     }
     call.callId = opened.callId;
-    lines_[opened.callId] = {connection.tag, stream};
+    callLocations_[opened.callId] = {connection.tag, stream};
   } else {
     ++statistics_.unknownCalls;
     finish(connection, stream, trailersOf(Status::unimplemented, "no such method"));
@@ -126,22 +130,22 @@
 void Calls::onData(Http2& connection, StreamId stream, std::string_view bytes) {
   const auto peer = peers_.find(connection.tag);
   if (peer == peers_.end()) return;
-  const auto find = [&] { return peer->second.calls.find(stream); };
-  auto it = find();
-  if (it == peer->second.calls.end()) return;  // it has been answered already
-  const bool good = it->second.reader.feed(bytes);
-  // A message may end its call: it is looked up again for each.
+  const auto findCall = [&] { return peer->second.calls.find(stream); };
+  auto it = findCall();
+  if (it == peer->second.calls.end()) return;  // already answered
+  const bool valid = it->second.reader.feed(bytes);
+  // A message may end its call, so the call is looked up again after each.
   while (it != peer->second.calls.end()) {
     const auto message = it->second.reader.next();
     if (!message) break;
-    said(connection, stream, it->second, *message);
-    it = find();
+    onMessage(connection, stream, it->second, *message);
+    it = findCall();
   }
-  if (good || it == peer->second.calls.end()) return;
-  ++statistics_.badWords;
+  if (valid || it == peer->second.calls.end()) return;
+  ++statistics_.invalidMessages;
   const session::CallId callId = it->second.callId;
   const MessageReader::Fault fault = it->second.reader.fault();
-  if (callId != 0) endLine(callId);
+  if (callId != 0) endCallOnFault(callId);
   finish(connection, stream,
          fault == MessageReader::Fault::tooLarge ? trailersOf(Status::resourceExhausted, "message too large")
          : fault == MessageReader::Fault::compressed
@@ -149,51 +153,52 @@
              : trailersOf(Status::internal, "not a gRPC message"));
 }
 
-// The call is over by a fault of its player: the front has to hear where it has the call.
-void Calls::endLine(session::CallId callId) {
-  const admission::InputResult heard =
-      desk_.handleInput(net::monotonicNow(), callId, admission::CallInput::reset);
-  if (heard.action == admission::CallAction::notifyClosed) handler_.onClosed(callId);
+// Ends a call in the call manager after an error of its client, and tells the director if it has the call.
+void Calls::endCallOnFault(session::CallId callId) {
+  const admission::InputResult result =
+      callManager_.handleInput(net::monotonicNow(), callId, admission::CallInput::reset);
+  if (result.action == admission::CallAction::notifyClosed) handler_.onClosed(callId);
 }
 
-void Calls::said(Http2& connection, StreamId stream, Call& call, std::string_view message) {
+void Calls::onMessage(Http2& connection, StreamId stream, Call& call, std::string_view message) {
   if (call.method != Method::play) {
-    call.asked = true;
+    call.messageReceived = true;
     call.message = message;
     if (call.method == Method::watch) reply(connection, stream, call);
     return;
   }
-  const PlayerMessage word = parsePlayerMessage(message);
-  if (word.kind == PlayerMessage::Kind::ask) return asked(connection, stream, call, word);
+  const PlayerMessage playerMessage = parsePlayerMessage(message);
+  if (playerMessage.kind == PlayerMessage::Kind::request)
+    return onPlayRequest(connection, stream, call, playerMessage);
   const session::CallId callId = call.callId;
-  if (word.kind == PlayerMessage::Kind::bad) {
-    ++statistics_.badWords;
-    endLine(callId);
-    return finish(connection, stream, trailersOf(Status::invalidArgument, word.fault));
+  if (playerMessage.kind == PlayerMessage::Kind::invalid) {
+    ++statistics_.invalidMessages;
+    endCallOnFault(callId);
+    return finish(connection, stream, trailersOf(Status::invalidArgument, playerMessage.error));
   }
-  const admission::InputResult heard =
-      desk_.handleInput(net::monotonicNow(), callId, admission::CallInput::leave);
+  const admission::InputResult result =
+      callManager_.handleInput(net::monotonicNow(), callId, admission::CallInput::leave);
   finish(connection, stream, trailersOf(Status::ok, ""));
-  if (heard.action == admission::CallAction::notifyLeft) handler_.onLeave(callId);
-  if (heard.abusive) connection.close(NGHTTP2_ENHANCE_YOUR_CALM);
+  if (result.action == admission::CallAction::notifyLeft) handler_.onLeave(callId);
+  if (result.abusive) connection.close(NGHTTP2_ENHANCE_YOUR_CALM);
 }
 
-void Calls::asked(Http2& connection, StreamId stream, Call& call, const PlayerMessage& word) {
+void Calls::onPlayRequest(Http2& connection, StreamId stream, Call& call, const PlayerMessage& message) {
   const session::CallId callId = call.callId;
-  const admission::InputResult heard =
-      desk_.handleInput(net::monotonicNow(), callId, admission::CallInput::request);
-  if (heard.action == admission::CallAction::reject) {
+  const admission::InputResult result =
+      callManager_.handleInput(net::monotonicNow(), callId, admission::CallInput::request);
+  if (result.action == admission::CallAction::reject) {
     finish(connection, stream, trailersOf(Status::invalidArgument, "one ask a call"));
-    if (heard.notifyClosed) handler_.onClosed(callId);
+    if (result.notifyClosed) handler_.onClosed(callId);
     return;
   }
-  if (heard.action != admission::CallAction::accept) return;
-  std::string why;
-  if (handler_.onRequest(callId, word.ask, why)) return;
-  desk_.rejected(callId);
-  session_api::AnswerMessage no;
-  no.reason = why;
-  finish(connection, stream, trailersOf(no));
+  if (result.action != admission::CallAction::accept) return;
+  std::string reason;
+  if (handler_.onRequest(callId, message.request, reason)) return;
+  callManager_.rejected(callId);
+  session_api::AnswerMessage answer;
+  answer.reason = reason;
+  finish(connection, stream, trailersOf(answer));
 }
 
 void Calls::onEnd(Http2& connection, StreamId stream) {
@@ -204,20 +209,21 @@
   Call& call = it->second;
   if (!call.reader.atMessageBoundary())
     return finish(connection, stream, trailersOf(Status::internal, "a message was cut off"));
-  if (call.method == Method::watch && call.asked) return;  // it goes on listening
+  if (call.method == Method::watch && call.messageReceived) return;  // the response stream stays open
   if (call.method != Method::play) return reply(connection, stream, call);
-  if (desk_.handleInput(net::monotonicNow(), call.callId, admission::CallInput::halfClose).action ==
+  if (callManager_.handleInput(net::monotonicNow(), call.callId, admission::CallInput::halfClose).action ==
       admission::CallAction::reject)
     finish(connection, stream, trailersOf(Status::invalidArgument, "an ask expected"));
 }
 
-Serving Calls::servingOf(const std::string& service) const {
+Serving Calls::servingStatus(const std::string& service) const {
   if (!service.empty() && service != sessionsService) return Serving::unknownService;
   return serving_ ? Serving::yes : Serving::no;
 }
 
 void Calls::reply(Http2& connection, StreamId stream, Call& call) {
-  if (!call.asked) return finish(connection, stream, trailersOf(Status::invalidArgument, "no message"));
+  if (!call.messageReceived)
+    return finish(connection, stream, trailersOf(Status::invalidArgument, "no message"));
   std::string body;
   if (call.method == Method::who) {
     body = serializeWhoReply(director_);
@@ -225,12 +231,12 @@
     const auto service = parseHealthRequest(call.message);
     if (!service)
       return finish(connection, stream, trailersOf(Status::invalidArgument, "not a health request"));
-    const Serving serving = servingOf(*service);
+    const Serving serving = servingStatus(*service);
     if (call.method == Method::check && serving == Serving::unknownService)
       return finish(connection, stream, trailersOf(Status::notFound, "unknown service"));
     body = serializeHealthReply(serving);
   }
-  sendHead(connection, stream, call);
+  sendResponseHeaders(connection, stream, call);
   connection.send(stream, lengthPrefixed(body));
   if (call.method != Method::watch) finish(connection, stream, trailersOf(Status::ok, ""));
 }
@@ -240,13 +246,14 @@
   serving_ = serving;
   for (auto& [id, peer] : peers_)
     for (auto& [stream, call] : peer.calls) {
-      if (call.method != Method::watch || !call.asked) continue;
+      if (call.method != Method::watch || !call.messageReceived) continue;
       const auto service = parseHealthRequest(call.message);
-      if (service) peer.connection->send(stream, lengthPrefixed(serializeHealthReply(servingOf(*service))));
+      if (service)
+        peer.connection->send(stream, lengthPrefixed(serializeHealthReply(servingStatus(*service))));
     }
 }
 
-// ---- what ends ----
+// ---- ends of calls and connections ----
 
 void Calls::onStreamClosed(Http2& connection, StreamId stream, std::uint32_t) {
   const auto peer = peers_.find(connection.tag);
@@ -256,64 +263,64 @@
   const session::CallId callId = it->second.callId;
   peer->second.calls.erase(it);
   if (callId == 0) return;
-  lines_.erase(callId);
-  const admission::InputResult heard =
-      desk_.handleInput(net::monotonicNow(), callId, admission::CallInput::reset);
-  if (heard.action == admission::CallAction::notifyClosed) handler_.onClosed(callId);
-  if (heard.abusive) connection.close(NGHTTP2_ENHANCE_YOUR_CALM);
+  callLocations_.erase(callId);
+  const admission::InputResult result =
+      callManager_.handleInput(net::monotonicNow(), callId, admission::CallInput::reset);
+  if (result.action == admission::CallAction::notifyClosed) handler_.onClosed(callId);
+  if (result.abusive) connection.close(NGHTTP2_ENHANCE_YOUR_CALM);
 }
 
 void Calls::onClosed(Http2& connection) {
   ++statistics_.closed;
-  for (const session::CallId callId : desk_.removePeer(connection.tag)) handler_.onClosed(callId);
-  dead_.push_back(connection.tag);
+  for (const session::CallId callId : callManager_.removePeer(connection.tag)) handler_.onClosed(callId);
+  closedPeers_.push_back(connection.tag);
 }
 
 void Calls::cut(session::CallId callId) {
-  if (const auto it = lines_.find(callId); it != lines_.end())
+  if (const auto it = callLocations_.find(callId); it != callLocations_.end())
     peers_.at(it->second.peer).connection->reset(it->second.stream, NGHTTP2_INTERNAL_ERROR);
 }
 
 void Calls::closeAll() {
   for (auto& [id, peer] : peers_) {
-    // Calls that never asked hold nothing that the front would answer.
+    // The director has answered all requests; calls without one are ended here.
     while (!peer.calls.empty()) {
       const session::CallId callId = peer.calls.begin()->second.callId;
       const StreamId stream = peer.calls.begin()->first;
-      if (callId != 0) endLine(callId);
+      if (callId != 0) endCallOnFault(callId);
       finish(*peer.connection, stream, trailersOf(Status::unavailable, "director goes"));
     }
-    peer.connection->lastWord();
+    peer.connection->sendGoaway();
     peer.connection->closeWhenIdle();
   }
 }
 
-// ---- words out ----
+// ---- sending ----
 
 bool Calls::send(session::CallId callId, const session_api::AnswerMessage& message, bool ends) {
-  const auto at = lines_.find(callId);
-  if (at == lines_.end()) return false;
+  const auto at = callLocations_.find(callId);
+  if (at == callLocations_.end()) return false;
   const StreamId stream = at->second.stream;
   Peer& peer = peers_.at(at->second.peer);
   Http2& connection = *peer.connection;
   if (message.kind == session_api::AnswerKind::playing || message.kind == session_api::AnswerKind::rung ||
       message.kind == session_api::AnswerKind::ended) {
-    sendHead(connection, stream, peer.calls.at(stream));
+    sendResponseHeaders(connection, stream, peer.calls.at(stream));
     connection.send(stream, lengthPrefixed(bytesOf(message)));
   }
   if (ends) finish(connection, stream, trailersOf(message));
   return true;
 }
 
-void Calls::send(const admission::DueAction& due) {
-  const auto it = peers_.find(due.peer);
+void Calls::send(const admission::DueAction& action) {
+  const auto it = peers_.find(action.peer);
   if (it == peers_.end()) return;
   Http2& connection = *it->second.connection;
-  switch (due.kind) {
+  switch (action.kind) {
     case admission::DueAction::Kind::drainNotice:
-      return connection.notice();
+      return connection.announceShutdown();
     case admission::DueAction::Kind::finalDrainNotice:
-      return connection.lastWord();
+      return connection.sendGoaway();
     case admission::DueAction::Kind::closePeer: {
       while (!it->second.calls.empty())
         finish(connection, it->second.calls.begin()->first,
@@ -321,10 +328,10 @@
       return connection.closeWhenIdle();
     }
     case admission::DueAction::Kind::endCall: {
-      const auto at = lines_.find(due.callId);
-      if (at != lines_.end())
+      const auto at = callLocations_.find(action.callId);
+      if (at != callLocations_.end())
         finish(connection, at->second.stream, trailersOf(Status::deadlineExceeded, "deadline"));
-      if (due.notifyClosed) handler_.onClosed(due.callId);
+      if (action.notifyClosed) handler_.onClosed(action.callId);
       return;
     }
   }
@@ -332,8 +339,8 @@
 
 void Calls::tick(Micros now) {
   for (auto& [id, peer] : peers_) peer.connection->tick(now);
-  for (const std::uint64_t id : dead_) peers_.erase(id);
-  dead_.clear();
+  for (const std::uint64_t id : closedPeers_) peers_.erase(id);
+  closedPeers_.clear();
 }
 
 }  // namespace lupinsill::grpc
--- a/src/grpc/calls.h
+++ b/src/grpc/calls.h
@@ -1,6 +1,7 @@
-// The director's side of the session protocol over gRPC: accepts connections, reads calls, turns their words
-// into asks and carries answers back. What a word means is the desk's to say. Errors of a call end that call,
-// errors of a connection that connection. Owned by the director; not to be moved while it listens.
+// Server of the session protocol over gRPC: accepts connections, passes the requests of their calls to the
+// director and sends its answers. The call manager decides which messages are valid in the state of a call.
+// An error of a call ends that call, an error of a connection that connection. Not movable, since callbacks
+// refer to the object.
 #pragma once
 
 #include <map>
@@ -15,47 +16,50 @@
 
 namespace lupinsill::grpc {
 
-struct CallsFigures {
-  std::uint64_t badWords = 0, unknownCalls = 0, closed = 0;
+// Counters since the start of the process.
+struct CallsStatistics {
+  std::uint64_t invalidMessages = 0, unknownCalls = 0, closed = 0;
 };
 
+// The gRPC listener with its connections. Besides the session service it serves the standard health service.
 class Calls final : public Http2::Handler, public admission::PlayerServer {
  public:
-  Calls(event_base* base, session_api::Handler& handler, admission::CallManager& desk, std::string director,
-        const settings::Endpoint& at, const settings::SocketLimits& limits, net::Accept accept);
+  Calls(event_base* base, session_api::Handler& handler, admission::CallManager& callManager,
+        std::string director, const settings::Endpoint& at, const settings::SocketLimits& limits,
+        net::Accept accept);
 
   int port() const { return net::portOf(listener_.get()); }
   void setLimits(const settings::SocketLimits& limits);
   void stopAccepting() { listener_.reset(); }
-  // What health says from now on; those who watch are told.
+  // Sets the status that the health service reports, and sends it to the open Watch calls.
   void setServing(bool serving);
   bool send(session::CallId callId, const session_api::AnswerMessage& message, bool ends) override;
-  void send(const admission::DueAction& due) override;
+  void send(const admission::DueAction& action) override;
   void cut(session::CallId callId) override;
   void closeAll() override;
   void tick(Micros now) override;
-  std::size_t sockets() const override { return peers_.size() - dead_.size(); }
-  const CallsFigures& statistics() const { return statistics_; }
+  std::size_t sockets() const override { return peers_.size() - closedPeers_.size(); }
+  const CallsStatistics& statistics() const { return statistics_; }
 
  private:
-  enum class Method { play, who, check, watch };
+  enum class Method { play, who, check, watch };  // Sessions/Play, Sessions/Who, Health/Check, Health/Watch
   struct Call {
     Method method = Method::play;
-    session::CallId callId = 0;
-    MessageReader reader{4096};
-    bool headSent = false;
-    bool asked = false;  // of one-shot calls: its message has come
-    std::string message;
+    session::CallId callId = 0;  // 0: not a Play call
+    MessageReader reader{4096};  // replaced by one with the configured limit
+    bool headersSent = false;
+    bool messageReceived = false;  // of methods other than Play
+    std::string message;           // the last message of such a method
   };
   struct Peer {
     std::unique_ptr<Http2> connection;
     std::map<StreamId, Call> calls;
   };
-  struct LineAt {
+  struct CallLocation {
     std::uint64_t peer;
     StreamId stream;
   };
-  static void onAccept(evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* me);
+  static void onAccept(evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* context);
   void accept(evutil_socket_t fd);
   void onOpen(Http2&) override {}
   void onHeaders(Http2& connection, StreamId stream, const Headers& headers) override;
@@ -63,28 +67,30 @@
   void onEnd(Http2& connection, StreamId stream) override;
   void onStreamClosed(Http2& connection, StreamId stream, std::uint32_t code) override;
   void onClosed(Http2& connection) override;
-  void said(Http2& connection, StreamId stream, Call& call, std::string_view message);
-  void asked(Http2& connection, StreamId stream, Call& call, const PlayerMessage& word);
+  void onMessage(Http2& connection, StreamId stream, Call& call, std::string_view message);
+  void onPlayRequest(Http2& connection, StreamId stream, Call& call, const PlayerMessage& message);
   void reply(Http2& connection, StreamId stream, Call& call);
-  Headers head() const;
-  void sendHead(Http2& connection, StreamId stream, Call& call);
+  Headers responseHeaders() const;
+  void sendResponseHeaders(Http2& connection, StreamId stream, Call& call);
   void finish(Http2& connection, StreamId stream, const Headers& trailers);
-  void endLine(session::CallId callId);
-  Serving servingOf(const std::string& service) const;
+  void endCallOnFault(session::CallId callId);
+  Serving servingStatus(const std::string& service) const;
 
   event_base* base_;
   session_api::Handler& handler_;
-  admission::CallManager& desk_;
+  admission::CallManager& callManager_;
   std::string director_;
   settings::SocketLimits limits_;
   net::Accept accept_;
   net::Listener listener_;
   bool serving_ = true;
-  std::uint64_t refused_ = 0;  // counts down from the top: never a peer's number
+  // Number of rejected peers. Their IDs count down from the maximum, so that they differ from those of
+  // accepted peers.
+  std::uint64_t rejectedPeers_ = 0;
   std::map<std::uint64_t, Peer> peers_;
-  std::map<session::CallId, LineAt> lines_;
-  std::vector<std::uint64_t> dead_;
-  CallsFigures statistics_;
+  std::map<session::CallId, CallLocation> callLocations_;
+  std::vector<std::uint64_t> closedPeers_;  // freed by the next tick
+  CallsStatistics statistics_;
 };
 
 }  // namespace lupinsill::grpc
--- a/src/grpc/http2.h
+++ b/src/grpc/http2.h
@@ -1,9 +1,9 @@
-// One HTTP/2 connection on a bufferevent, either side: nghttp2's frames, bounds on what a peer may make us
-// hold, pings, the two-step GOAWAY. Nothing here knows gRPC.
+// One HTTP/2 connection on a libevent bufferevent, as client or server. Uses nghttp2 for the frames and adds
+// limits on the memory a peer can occupy, pings and the two-step GOAWAY. Independent of gRPC.
 //
-// Errors end a stream (told once by onStreamClosed with the RFC 9113 code) or the connection (told once by
-// onClosed, after every stream of it was told). A connection is dead from then on; its owner frees it outside
-// of its callbacks. Streams named by other calls after their end are passed over.
+// An error ends a stream (reported once by onStreamClosed with an RFC 9113 error code) or the connection
+// (reported once by onClosed, after onStreamClosed for each of its streams). The connection is dead from then
+// on; its owner frees it outside its callbacks. Calls for a stream that has ended have no effect.
 #pragma once
 
 #include <nghttp2/nghttp2.h>
@@ -23,23 +23,25 @@
 using StreamId = std::int32_t;
 using Headers = std::vector<std::pair<std::string, std::string>>;
 
+// Limits of one connection; times in microseconds.
 struct Http2Limits {
-  std::size_t headBytes = 8192;
-  std::size_t streams = 100;  // that the peer may have open at once
-  std::size_t unsentBytes = 65536;
-  Micros handshake = 5'000'000;
-  Micros pingEvery = 20'000'000;
-  Micros idleClose = 60'000'000;
+  std::size_t headBytes = 8192;     // received header block, with 32 bytes of overhead for each field
+  std::size_t streams = 100;        // concurrent streams opened by the peer
+  std::size_t unsentBytes = 65536;  // data queued on one stream; above it the stream is reset
+  Micros handshake = 5'000'000;     // until the peer's SETTINGS frame
+  Micros pingEvery = 20'000'000;    // silence of the peer after which it is sent a ping
+  Micros idleClose = 60'000'000;    // silence of the peer after which the connection is closed
 };
 
+// Not movable; the owner must keep it until onClosed or abort().
 class Http2 {
  public:
   struct Handler {
     virtual ~Handler() = default;
-    virtual void onOpen(Http2& connection) = 0;  // the peer speaks HTTP/2
+    virtual void onOpen(Http2& connection) = 0;  // the peer's SETTINGS frame has arrived
     virtual void onHeaders(Http2& connection, StreamId stream, const Headers& headers) = 0;
     virtual void onData(Http2& connection, StreamId stream, std::string_view bytes) = 0;
-    virtual void onEnd(Http2& connection, StreamId stream) = 0;  // the peer says no more on it
+    virtual void onEnd(Http2& connection, StreamId stream) = 0;  // the peer has half-closed the stream
     virtual void onStreamClosed(Http2& connection, StreamId stream, std::uint32_t code) = 0;
     virtual void onClosed(Http2& connection) = 0;
   };
@@ -49,58 +51,58 @@
   Http2(const Http2&) = delete;
   Http2& operator=(const Http2&) = delete;
 
-  // Client: opens a stream; 0 where the connection takes no more.
+  // Client: opens a stream. Returns 0 if the connection accepts no more streams.
   StreamId request(const Headers& headers);
-  // Server: the response's head. `whole`: nothing follows (in gRPC, "Trailers-Only").
-  void respond(StreamId stream, const Headers& headers, bool whole);
+  // Server: sends the response headers. `endStream`: nothing follows (in gRPC, "Trailers-Only").
+  void respond(StreamId stream, const Headers& headers, bool endStream);
   void send(StreamId stream, std::string_view bytes);
-  void end(StreamId stream);                                // says no more
-  void trailers(StreamId stream, const Headers& trailers);  // and then says no more
+  void end(StreamId stream);                                // half-closes the stream
+  void trailers(StreamId stream, const Headers& trailers);  // sends trailers and half-closes the stream
   void reset(StreamId stream, std::uint32_t code);
 
-  void notice();    // server: open no more streams here; those on their way are still taken
-  void lastWord();  // server: GOAWAY with the last stream that was taken
-  void closeWhenIdle();
-  void close(std::uint32_t code);  // GOAWAY, then the socket
-  void abort();                    // drops the socket as it is; the ear hears nothing more
-  void tick(Micros now);           // pings and time-outs; some times a second
+  void announceShutdown();         // server: first GOAWAY; streams already on their way are still accepted
+  void sendGoaway();               // server: second GOAWAY, with the last stream that was accepted
+  void closeWhenIdle();            // closes the connection once it has no streams
+  void close(std::uint32_t code);  // sends GOAWAY, then closes the socket
+  void abort();                    // closes the socket at once; the handler is not called any more
+  void tick(Micros now);           // pings and time-outs; must be called several times a second
 
-  bool open() const { return state_ == State::open && !goneAway_; }
+  bool open() const { return state_ == State::open && !goawayExchanged_; }
   bool dead() const { return state_ == State::dead; }
   std::size_t streams() const { return streams_.size(); }
-  bool flushed() const;
+  bool flushed() const;  // everything has been passed to the socket
 
-  std::uint64_t tag = 0;  // the owner's
+  std::uint64_t tag = 0;  // for the owner's use
 
  private:
   enum class State { opening, open, closing, dead };
   struct Stream {
-    Headers heard;
-    std::size_t heardBytes = 0;
-    std::string out;
+    Headers receivedHeaders;
+    std::size_t receivedHeaderBytes = 0;
+    std::string unsent;
     Headers trailers;
-    bool ends = false;
+    bool endAfterUnsent = false;
     bool hasTrailers = false;
     bool peerEnded = false;
   };
-  static int onBeginHeaders(nghttp2_session*, const nghttp2_frame* frame, void* me);
+  static int onBeginHeaders(nghttp2_session*, const nghttp2_frame* frame, void* context);
   static int onHeader(nghttp2_session*, const nghttp2_frame* frame, const std::uint8_t* name,
                       std::size_t nameSize, const std::uint8_t* value, std::size_t valueSize,
-                      std::uint8_t flags, void* me);
-  static int onFrame(nghttp2_session*, const nghttp2_frame* frame, void* me);
-  static int onSent(nghttp2_session*, const nghttp2_frame* frame, void* me);
+                      std::uint8_t flags, void* context);
+  static int onFrame(nghttp2_session*, const nghttp2_frame* frame, void* context);
+  static int onSent(nghttp2_session*, const nghttp2_frame* frame, void* context);
   static int onChunk(nghttp2_session*, std::uint8_t flags, StreamId stream, const std::uint8_t* data,
-                     std::size_t size, void* me);
-  static int onStreamClose(nghttp2_session*, StreamId stream, std::uint32_t code, void* me);
-  static ssize_t pull(nghttp2_session*, StreamId stream, std::uint8_t* into, std::size_t size,
-                      std::uint32_t* flags, nghttp2_data_source* source, void* me);
-  static void onRead(bufferevent*, void* me);
-  static void onWrite(bufferevent*, void* me);
-  static void onEvent(bufferevent*, short what, void* me);
+                     std::size_t size, void* context);
+  static int onStreamClose(nghttp2_session*, StreamId stream, std::uint32_t code, void* context);
+  static ssize_t onDataSourceRead(nghttp2_session*, StreamId stream, std::uint8_t* buffer, std::size_t size,
+                                  std::uint32_t* flags, nghttp2_data_source* source, void* context);
+  static void onRead(bufferevent*, void* context);
+  static void onWrite(bufferevent*, void* context);
+  static void onEvent(bufferevent*, short what, void* context);
   Stream* find(StreamId stream);
-  void resume(StreamId stream);
-  void pump();
-  void die();
+  void resumeSending(StreamId stream);
+  void sendPending();
+  void terminate();
 
   net::BufferEvent bufferEvent_;
   Handler& handler_;
@@ -108,10 +110,10 @@
   bool server_;
   nghttp2_session* session_ = nullptr;
   State state_ = State::opening;
-  bool reading_ = false;   // nghttp2 must not be made to write from within its own callbacks
-  bool goneAway_ = false;  // by either side
-  bool closeIdle_ = false;
-  Micros openedAt_ = 0, heardAt_ = 0, pingedAt_ = 0, closingAt_ = 0;
+  bool insideNghttp2_ = false;    // nghttp2 must not be asked to send from within its callbacks
+  bool goawayExchanged_ = false;  // a GOAWAY was sent (server) or received (client)
+  bool closeWhenIdle_ = false;
+  Micros openedAt_ = 0, lastReceivedAt_ = 0, lastPingAt_ = 0, closeStartedAt_ = 0;
   std::map<StreamId, Stream> streams_;
 };
 
--- a/src/grpc/messages.cpp
+++ b/src/grpc/messages.cpp
@@ -16,26 +16,26 @@
 using session_api::AnswerMessage;
 using session_api::PlayMessage;
 
-// Guards against strangers who write our log: the library prints a line for each bad message of theirs.
-[[maybe_unused]] const bool silenced = (google::protobuf::SetLogHandler(nullptr), true);
+// Disables protobuf's own log, which would let any client write to the director's log with invalid messages.
+[[maybe_unused]] const bool logSilenced = (google::protobuf::SetLogHandler(nullptr), true);
 
 template <class Message>
 bool parse(Message& message, std::string_view bytes) {
   return message.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()));
 }
 
-std::optional<Micros> spanOf(std::uint64_t ms) {
+std::optional<Micros> durationOf(std::uint64_t ms) {
   if (ms == 0) return std::nullopt;
   return std::min<Micros>(session_api::maxDuration,
                           static_cast<Micros>(std::min<std::uint64_t>(ms, 1'000'000'000)) * 1000);
 }
 
-struct Meant {
+struct ReasonStatus {
   const char* reason;
   Status status;
 };
-// What a caller that knows only gRPC should make of each.
-constexpr Meant meanings[] = {
+// The status of each reason, for clients that know only gRPC.
+constexpr ReasonStatus reasonStatuses[] = {
     {"no-room", Status::resourceExhausted},
     {"busy", Status::resourceExhausted},
     {"late", Status::unavailable},
@@ -52,13 +52,13 @@
 
 Status statusOf(const AnswerMessage& answer) {
   if (answer.kind == AnswerKind::error) return Status::invalidArgument;
-  for (const Meant& meant : meanings)
-    if (answer.reason == meant.reason) return meant.status;
+  for (const ReasonStatus& entry : reasonStatuses)
+    if (answer.reason == entry.reason) return entry.status;
   return answer.kind == AnswerKind::throttled ? Status::unavailable : Status::internal;
 }
 
-const char* wordOf(AnswerKind said) {
-  switch (said) {
+const char* nameOf(AnswerKind kind) {
+  switch (kind) {
     case AnswerKind::throttled:
       return "throttled";
     case AnswerKind::terminated:
@@ -75,26 +75,26 @@
 PlayerMessage parsePlayerMessage(std::string_view bytes) {
   PlayerMessage out;
   wire::FromPlayer from;
-  if (!parse(from, bytes)) return out.fault = "not a message of this service", out;
+  if (!parse(from, bytes)) return out.error = "not a message of this service", out;
   if (from.has_leave()) return out.kind = PlayerMessage::Kind::leave, out;
-  if (!from.has_ask()) return out.fault = "ask or leave expected", out;
-  const wire::Ask& ask = from.ask();
-  const auto check = [&](const char* name, const std::string& word, bool needed) {
-    const char* fault = session_api::fieldError(word, needed);
-    if (fault != nullptr && out.fault.empty()) out.fault = std::string(name) + ": " + fault;
-    return word;
+  if (!from.has_ask()) return out.error = "ask or leave expected", out;
+  const wire::Ask& request = from.ask();
+  const auto check = [&](const char* name, const std::string& text, bool required) {
+    const char* error = session_api::fieldError(text, required);
+    if (error != nullptr && out.error.empty()) out.error = std::string(name) + ": " + error;
+    return text;
   };
-  out.ask.key = check("key", ask.key(), true);
-  out.ask.viewer = check("viewer", ask.viewer(), true);
-  out.ask.title = check("title", ask.title(), true);
-  out.ask.room = check("room", ask.room(), true);
-  out.ask.tenant = check("tenant", ask.tenant(), false);
-  out.ask.previousDirector = check("again", ask.again(), false);
-  if (ask.has_top()) out.ask.top = static_cast<int>(std::min<std::uint32_t>(ask.top(), 1000));
-  out.ask.timeout = spanOf(ask.timeout_ms());
-  out.ask.length = spanOf(ask.length_ms());
-  if (ask.has_again_ms()) out.ask.sinceFirstSent = spanOf(ask.again_ms()).value_or(0);
-  if (out.fault.empty()) out.kind = PlayerMessage::Kind::ask;
+  out.request.key = check("key", request.key(), true);
+  out.request.viewer = check("viewer", request.viewer(), true);
+  out.request.title = check("title", request.title(), true);
+  out.request.room = check("room", request.room(), true);
+  out.request.tenant = check("tenant", request.tenant(), false);
+  out.request.previousDirector = check("again", request.again(), false);
+  if (request.has_top()) out.request.top = static_cast<int>(std::min<std::uint32_t>(request.top(), 1000));
+  out.request.timeout = durationOf(request.timeout_ms());
+  out.request.length = durationOf(request.length_ms());
+  if (request.has_again_ms()) out.request.sinceFirstSent = durationOf(request.again_ms()).value_or(0);
+  if (out.error.empty()) out.kind = PlayerMessage::Kind::request;
   return out;
 }
 
@@ -109,7 +109,7 @@
   ask.set_again(message.previousDirector);
   ask.set_top(static_cast<std::uint32_t>(message.top));
   if (message.timeout) ask.set_timeout_ms(static_cast<std::uint64_t>(*message.timeout / 1000));
-  // Rounded up: the key must not look younger than it is.
+  // Rounded up, so that the key never seems newer than it is.
   if (message.sinceFirstSent)
     ask.set_again_ms(static_cast<std::uint64_t>((*message.sinceFirstSent + 999) / 1000));
   if (message.length) ask.set_length_ms(static_cast<std::uint64_t>(*message.length / 1000));
@@ -155,9 +155,9 @@
   } else if (to.has_ended()) {
     answer.kind = AnswerKind::ended;
     answer.reason = to.ended().reason();
-    answer.retryAfter = spanOf(to.ended().retry_after_ms()).value_or(0);
+    answer.retryAfter = durationOf(to.ended().retry_after_ms()).value_or(0);
   } else {
-    return std::nullopt;  // a newer director may say more than this knows
+    return std::nullopt;  // a message of a newer protocol version
   }
   return answer;
 }
@@ -196,12 +196,12 @@
 
 Headers trailersOf(const AnswerMessage& answer) {
   Headers out = trailersOf(statusOf(answer), answer.reason);
-  out.emplace_back("lupinsill-answer", wordOf(answer.kind));
+  out.emplace_back("lupinsill-answer", nameOf(answer.kind));
   out.emplace_back("lupinsill-reason", percentEncode(answer.reason));
   const std::string ms = std::to_string((answer.retryAfter + 999) / 1000);
   if (answer.retryAfter > 0) out.emplace_back("lupinsill-retry-after-ms", ms);
-  // Guards against gRPC's own retries of what may have run: a negative pushback forbids them, whatever policy
-  // the caller has set. After a throttle nothing ran, and they may come when we say.
+  // A negative pushback forbids gRPC's automatic retries, whatever the client's policy, since the request may
+  // have run. After a throttle nothing has run, and a retry is allowed after the given time.
   if (answer.kind != AnswerKind::throttled)
     out.emplace_back("grpc-retry-pushback-ms", "-1");
   else if (answer.retryAfter > 0)
@@ -218,13 +218,13 @@
 Trailers parseTrailers(const Headers& headers) {
   Trailers out;
   const std::string status(headerValue(headers, "grpc-status"));
-  out.status = status.empty() ? 2 : std::atoi(status.c_str());
+  out.status = status.empty() ? static_cast<int>(Status::unknown) : std::atoi(status.c_str());
   out.message = percentDecode(headerValue(headers, "grpc-message"));
-  const std::string_view word = headerValue(headers, "lupinsill-answer");
-  out.fromDirector = !word.empty();
-  out.answer.kind = word == "throttled"    ? AnswerKind::throttled
-                    : word == "terminated" ? AnswerKind::terminated
-                    : word == "ended"      ? AnswerKind::ended
+  const std::string_view text = headerValue(headers, "lupinsill-answer");
+  out.fromDirector = !text.empty();
+  out.answer.kind = text == "throttled"    ? AnswerKind::throttled
+                    : text == "terminated" ? AnswerKind::terminated
+                    : text == "ended"      ? AnswerKind::ended
                                            : AnswerKind::error;
   out.answer.reason =
       out.fromDirector ? percentDecode(headerValue(headers, "lupinsill-reason")) : out.message;
--- a/src/grpc/messages.h
+++ b/src/grpc/messages.h
@@ -1,5 +1,5 @@
-// The session protocol's messages as protobuf and back (docs/protocol/session-grpc.md), and how an answer
-// becomes a gRPC status. No socket, no meaning. Errors: none thrown; a bad message is told by its fault.
+// Serialization of the session protocol's messages as protobuf (docs/protocol/session-grpc.md), and the
+// mapping of answers to gRPC statuses. Pure functions. Nothing throws; errors are returned.
 #pragma once
 
 #include <optional>
@@ -18,39 +18,41 @@
 inline constexpr std::string_view watchPath = "/grpc.health.v1.Health/Watch";
 inline constexpr std::string_view sessionsService = "lupinsill.session.v1.Sessions";
 
+// A message of a player on a Play call: a request, a leave, or an invalid message with the reason in `error`.
 struct PlayerMessage {
-  enum class Kind { ask, leave, bad } kind = Kind::bad;
-  session_api::PlayMessage ask;
-  std::string fault;
+  enum class Kind { request, leave, invalid } kind = Kind::invalid;
+  session_api::PlayMessage request;
+  std::string error;
 };
 PlayerMessage parsePlayerMessage(std::string_view bytes);
-std::string bytesOf(const session_api::PlayMessage& ask);
+std::string bytesOf(const session_api::PlayMessage& request);
 std::string serializeLeave();
 
-// Playing, rung and ended; the other answers are statuses.
+// Only playing, rung and ended are sent as messages; the other answers are sent as a status.
 std::string bytesOf(const session_api::AnswerMessage& answer);
 std::optional<session_api::AnswerMessage> parseAnswer(std::string_view bytes);
 
 std::string serializeWhoReply(const std::string& director);
 std::optional<std::string> parseWhoReply(std::string_view bytes);
 
-// Health: the service that is asked after, and the reply.
+// Messages of the health service; the request names the service whose status is wanted.
 std::optional<std::string> parseHealthRequest(std::string_view bytes);
 enum class Serving { yes, no, unknownService };
 std::string serializeHealthReply(Serving serving);
 
-// The trailers that carry an answer which ends a call. `throttled` may be tried again by gRPC itself
-// (grpc-retry-pushback-ms says when); the others say that it must not be.
+// The trailers for an answer that ends a call. Through grpc-retry-pushback-ms, `throttled` allows an
+// automatic retry by gRPC after the given time; all other answers forbid it.
 Headers trailersOf(const session_api::AnswerMessage& answer);
 Headers trailersOf(Status status, std::string_view message);
-// What a client makes of them. `said` is error where they hold no answer of ours.
+// Trailers as received by a client. `answer` has the kind `error` if they carry no answer of a director.
 struct Trailers {
-  int status = 2;
+  int status = static_cast<int>(Status::unknown);
   std::string message;
   session_api::AnswerMessage answer;
   bool fromDirector = false;
 };
 Trailers parseTrailers(const Headers& headers);
+// The value of the first header of that name; empty if there is none.
 std::string_view headerValue(const Headers& headers, std::string_view name);
 
 }  // namespace lupinsill::grpc
--- a/src/grpc/wire.cpp
+++ b/src/grpc/wire.cpp
@@ -7,15 +7,16 @@
 namespace lupinsill::grpc {
 namespace {
 
-constexpr std::size_t headSize = 5;
+// A flag byte for compression and the message length in four bytes.
+constexpr std::size_t prefixBytes = 5;
 
-std::size_t lengthOf(const std::string& head) {
+std::size_t messageLength(const std::string& prefix) {
   std::size_t size = 0;
-  for (std::size_t i = 1; i < headSize; ++i) size = size << 8 | static_cast<unsigned char>(head[i]);
+  for (std::size_t i = 1; i < prefixBytes; ++i) size = size << 8 | static_cast<unsigned char>(prefix[i]);
   return size;
 }
 
-int hexOf(char c) {
+int hexDigit(char c) {
   if (c >= '0' && c <= '9') return c - '0';
   if (c >= 'A' && c <= 'F') return c - 'A' + 10;
   if (c >= 'a' && c <= 'f') return c - 'a' + 10;
@@ -24,28 +25,29 @@
 
 }  // namespace
 
-// Guards against a length that is believed: the head alone decides, before a byte of the message is held.
+// A length over the limit is rejected as soon as the prefix is complete, before more of the message is
+// buffered.
 bool MessageReader::feed(std::string_view bytes) {
   if (fault_ != Fault::none) return false;
-  held_ += bytes;
+  buffer_ += bytes;
   std::size_t at = 0;
-  while (held_.size() - at >= headSize) {
-    const std::string head = held_.substr(at, headSize);
-    if (head[0] == 1) return fault_ = Fault::compressed, false;
-    if (head[0] != 0) return fault_ = Fault::badFlag, false;
-    if (lengthOf(head) > most_) return fault_ = Fault::tooLarge, false;
-    at += headSize + lengthOf(head);
-    if (at > held_.size()) break;
+  while (buffer_.size() - at >= prefixBytes) {
+    const std::string prefix = buffer_.substr(at, prefixBytes);
+    if (prefix[0] == 1) return fault_ = Fault::compressed, false;
+    if (prefix[0] != 0) return fault_ = Fault::badFlag, false;
+    if (messageLength(prefix) > maxMessageBytes_) return fault_ = Fault::tooLarge, false;
+    at += prefixBytes + messageLength(prefix);
+    if (at > buffer_.size()) break;
   }
   return true;
 }
 
 std::optional<std::string> MessageReader::next() {
-  if (held_.size() < headSize || fault_ != Fault::none) return std::nullopt;
-  const std::size_t size = lengthOf(held_);
-  if (held_.size() < headSize + size) return std::nullopt;
-  std::string message = held_.substr(headSize, size);
-  held_.erase(0, headSize + size);
+  if (buffer_.size() < prefixBytes || fault_ != Fault::none) return std::nullopt;
+  const std::size_t size = messageLength(buffer_);
+  if (buffer_.size() < prefixBytes + size) return std::nullopt;
+  std::string message = buffer_.substr(prefixBytes, size);
+  buffer_.erase(0, prefixBytes + size);
   return message;
 }
 
@@ -81,11 +83,11 @@
   }
 }
 
-std::string formatTimeout(Micros span) {
-  span = std::max<Micros>(0, span);
-  if (span < 100'000'000) return std::to_string(span) + "u";
-  if (span / 1'000 < 100'000'000) return std::to_string(span / 1'000) + "m";
-  return std::to_string(std::min<Micros>(99'999'999, span / 1'000'000)) + "S";
+std::string formatTimeout(Micros duration) {
+  duration = std::max<Micros>(0, duration);
+  if (duration < 100'000'000) return std::to_string(duration) + "u";
+  if (duration / 1'000 < 100'000'000) return std::to_string(duration / 1'000) + "m";
+  return std::to_string(std::min<Micros>(99'999'999, duration / 1'000'000)) + "S";
 }
 
 std::string percentEncode(std::string_view message) {
@@ -107,9 +109,9 @@
 std::string percentDecode(std::string_view message) {
   std::string out;
   for (std::size_t i = 0; i < message.size(); ++i) {
-    if (message[i] == '%' && i + 2 < message.size() && hexOf(message[i + 1]) >= 0 &&
-        hexOf(message[i + 2]) >= 0) {
-      out += static_cast<char>(hexOf(message[i + 1]) * 16 + hexOf(message[i + 2]));
+    if (message[i] == '%' && i + 2 < message.size() && hexDigit(message[i + 1]) >= 0 &&
+        hexDigit(message[i + 2]) >= 0) {
+      out += static_cast<char>(hexDigit(message[i + 1]) * 16 + hexDigit(message[i + 2]));
       i += 2;
     } else {
       out += message[i];
--- a/src/grpc/wire.h
+++ b/src/grpc/wire.h
@@ -1,5 +1,5 @@
-// gRPC's framing over HTTP/2 as text and bytes, no socket: length-prefixed messages, grpc-timeout, status and
-// its percent-encoding. Source: gRPC's published "PROTOCOL-HTTP2" and "gRPC Retry Design" (A6).
+// Encoding of gRPC over HTTP/2: length-prefixed messages, the grpc-timeout header, and status codes and
+// messages. Pure functions on text and bytes. Sources: gRPC's "PROTOCOL-HTTP2" and "gRPC Retry Design" (A6).
 #pragma once
 
 #include <cstdint>
@@ -11,7 +11,7 @@
 
 namespace lupinsill::grpc {
 
-// The published numbers; those that are used here.
+// The gRPC status codes that are used here.
 enum class Status {
   ok = 0,
   cancelled = 1,
@@ -28,29 +28,34 @@
   unavailable = 14,
 };
 
-// Takes bytes of a stream as they come and gives whole messages.
+// Splits the bytes of a stream into messages.
 class MessageReader {
  public:
-  explicit MessageReader(std::size_t most) : most_(most) {}
+  explicit MessageReader(std::size_t maxMessageBytes) : maxMessageBytes_(maxMessageBytes) {}
   enum class Fault { none, tooLarge, compressed, badFlag };
-  // False where the bytes cannot be gRPC, or not for us; see fault().
+  // Adds received bytes. Returns false if they are not valid; see fault().
   bool feed(std::string_view bytes);
+  // The next complete message, if there is one.
   std::optional<std::string> next();
   Fault fault() const { return fault_; }
-  bool atMessageBoundary() const { return held_.empty(); }  // no part of a message is waiting
+  bool atMessageBoundary() const { return buffer_.empty(); }  // no incomplete message is buffered
 
  private:
-  std::size_t most_;
-  std::string held_;
+  std::size_t maxMessageBytes_;
+  std::string buffer_;
   Fault fault_ = Fault::none;
 };
 
+// Puts the five-byte prefix (no compression, length) before a message.
 std::string lengthPrefixed(std::string_view message);
 
-// "1500m": up to eight digits and one of H M S m u n. None where it is not that.
+// Parses a grpc-timeout such as "1500m": up to eight digits and one of the units H, M, S, m, u, n. Returns
+// nothing if the text is invalid.
 std::optional<Micros> parseTimeout(std::string_view text);
-std::string formatTimeout(Micros span);
+// Formats a grpc-timeout, in the finest unit in which the duration fits into eight digits.
+std::string formatTimeout(Micros duration);
 
+// The percent-encoding of grpc-message; characters outside printable ASCII are encoded.
 std::string percentEncode(std::string_view message);
 std::string percentDecode(std::string_view message);
 
