--- a/src/director/director.cpp
+++ b/src/director/director.cpp
@@ -695,7 +695,7 @@
   };
   const auto toDouble = [](auto n) { return static_cast<double>(n); };
   const session::Statistics front = front_.statistics();
-  const websocket::PlayersFigures& webSocket = players_->statistics();
+  const websocket::PlayersStatistics& webSocket = players_->statistics();
   const admission::Statistics callCounts = callManager_.statistics();
   const media::NodesStatistics nodes = nodes_.statistics();
   add("lupinsill_asks_total", "Requests accepted from players", true, {{"", toDouble(front.asks)}});
--- a/src/websocket/channel.h
+++ b/src/websocket/channel.h
@@ -1,9 +1,10 @@
-// One WebSocket on a bufferevent, either side: handshake, frames by wslay, pings, close codes, and bounds on
-// what a peer may make us hold. Nothing here knows what the messages mean.
+// One WebSocket connection on a libevent bufferevent, as client or server: handshake, frames (by wslay),
+// pings and close codes, with limits on the memory a peer can occupy. Independent of the content of the
+// messages.
 //
-// Errors end the channel and are told once by Handler::onClosed with the RFC 6455 code: 1002 bad frames, 1007
-// bad UTF-8, 1009 too large, 1003 a binary message, 1008 a reader too slow, 1006 the socket broke. A channel
-// is dead from then on; its owner frees it outside of its callbacks.
+// An error ends the connection and is reported once by Handler::onClosed with a close code of RFC 6455: 1002
+// invalid frames, 1003 a binary message, 1006 broken socket, 1007 invalid UTF-8, 1008 a peer that reads too
+// slowly, 1009 message too large. The channel is dead from then on; its owner frees it outside its callbacks.
 #pragma once
 
 #include <wslay/wslay.h>
@@ -18,14 +19,26 @@
 
 namespace lupinsill::websocket {
 
+// Close codes of RFC 6455, section 7.4.
+namespace close_code {
+inline constexpr int goingAway = 1001;
+inline constexpr int protocolError = 1002;
+inline constexpr int unsupportedData = 1003;
+inline constexpr int abnormalClosure = 1006;  // never sent: the connection ended without a close frame
+inline constexpr int policyViolation = 1008;
+inline constexpr int tryAgainLater = 1013;
+}  // namespace close_code
+
+// Limits of one connection; times in microseconds.
 struct ChannelLimits {
-  std::size_t messageBytes = 4096;
-  std::size_t unsentBytes = 65536;
-  Micros handshake = 5'000'000;
-  Micros pingEvery = 20'000'000;
-  Micros idleClose = 60'000'000;
+  std::size_t messageBytes = 4096;  // received message
+  std::size_t unsentBytes = 65536;  // data waiting for the peer to read it; above it the connection is closed
+  Micros handshake = 5'000'000;     // until the end of the opening handshake
+  Micros pingEvery = 20'000'000;    // silence of the peer after which it is sent a ping
+  Micros idleClose = 60'000'000;    // silence of the peer after which the connection is closed
 };
 
+// Not movable; the owner must keep it until onClosed or abort().
 class Channel {
  public:
   struct Handler {
@@ -35,6 +48,7 @@
     virtual void onClosed(Channel& channel, int code) = 0;
   };
 
+  // `host`: the Host header of a client's handshake; unused by a server.
   Channel(net::BufferEvent bufferEvent, Handler& handler, const ChannelLimits& limits, bool server,
           const std::string& host);
   ~Channel();
@@ -43,33 +57,33 @@
 
   void sendText(std::string_view text);
   void close(int code, std::string_view reason);
-  void cut() { die(1006); }       // as if the socket had broken; the ear hears it
-  void abort();                   // drops the socket as it is, without a word
-  void refuse(std::string text);  // server, before the handshake: sends `text` and closes
-  void stopReading();             // as a player that never reads
-  void sendRaw(std::string_view bytes);
-  void tick(Micros now);  // pings and time-outs; call it some times a second
+  void cut() { terminate(close_code::abnormalClosure); }  // fault injection: acts as if the socket had broken
+  void abort();                          // closes the socket; the handler is not called any more
+  void refuse(std::string text);         // server, before the handshake: sends `text`, then closes
+  void stopReading();                    // fault injection: simulates a peer that never reads
+  void sendRaw(std::string_view bytes);  // sends the bytes as they are; they need not be valid frames
+  void tick(Micros now);                 // pings and time-outs; must be called several times a second
 
   bool open() const { return state_ == State::open; }
   bool dead() const { return state_ == State::dead; }
-  std::size_t unsent() const;
+  std::size_t unsent() const;  // bytes waiting to be sent
 
-  std::uint64_t tag = 0;  // the owner's
+  std::uint64_t tag = 0;  // for the owner's use
 
  private:
   enum class State { opening, open, closing, dead };
   static ssize_t receive(wslay_event_context* ctx, std::uint8_t* buffer, std::size_t size, int flags,
-                         void* me);
+                         void* context);
   static ssize_t send(wslay_event_context* ctx, const std::uint8_t* data, std::size_t size, int flags,
-                      void* me);
-  static int mask(wslay_event_context* ctx, std::uint8_t* buffer, std::size_t size, void* me);
-  static void message(wslay_event_context* ctx, const wslay_event_on_msg_recv_arg* arg, void* me);
-  static void onRead(bufferevent* bufferEvent, void* me);
-  static void onWrite(bufferevent* bufferEvent, void* me);
-  static void onEvent(bufferevent* bufferEvent, short what, void* me);
-  void readOpening();
-  void pump();
-  void die(int code);
+                      void* context);
+  static int generateMask(wslay_event_context* ctx, std::uint8_t* buffer, std::size_t size, void* context);
+  static void onMessage(wslay_event_context* ctx, const wslay_event_on_msg_recv_arg* arg, void* context);
+  static void onRead(bufferevent* bufferEvent, void* context);
+  static void onWrite(bufferevent* bufferEvent, void* context);
+  static void onEvent(bufferevent* bufferEvent, short what, void* context);
+  void readHandshake();
+  void processInput();
+  void terminate(int code);
 
   net::BufferEvent bufferEvent_;
   Handler& handler_;
@@ -78,12 +92,12 @@
   std::string host_;
   std::string key_;
   State state_ = State::opening;
-  int closeCode_ = 1006;
+  int closeCode_ = close_code::abnormalClosure;
   Micros openedAt_ = 0;
-  Micros heardAt_ = 0;
-  Micros pingedAt_ = 0;
-  Micros closingAt_ = 0;
-  bool refused_ = false;
+  Micros lastReceivedAt_ = 0;
+  Micros lastPingAt_ = 0;
+  Micros closeStartedAt_ = 0;
+  bool rejected_ = false;
   wslay_event_context* wslay_ = nullptr;
 };
 
--- a/src/websocket/handshake.cpp
+++ b/src/websocket/handshake.cpp
@@ -10,6 +10,12 @@
 namespace lupinsill::websocket {
 namespace {
 
+// RFC 6455, section 1.3.
+constexpr char handshakeGuid[] = "258EAFA5-E914-47DA-95CA-C5AB0DC85B11";
+// A Sec-WebSocket-Key is 16 random bytes in base64.
+constexpr std::size_t keyBytes = 16;
+constexpr std::size_t encodedKeyLength = 24;
+
 std::string lower(std::string_view text) {
   std::string out(text);
   std::transform(out.begin(), out.end(), out.begin(), [](unsigned char c) { return std::tolower(c); });
@@ -17,11 +23,12 @@
 }
 
 std::string headerOf(std::string_view head, std::string_view name) {
-  std::size_t at = head.find("\r\n");
-  while (at != std::string_view::npos && at + 2 < head.size()) {
-    const std::size_t start = at + 2;
-    at = head.find("\r\n", start);
-    const std::string_view line = head.substr(start, at == std::string_view::npos ? at : at - start);
+  std::size_t position = head.find("\r\n");
+  while (position != std::string_view::npos && position + 2 < head.size()) {
+    const std::size_t start = position + 2;
+    position = head.find("\r\n", start);
+    const std::string_view line =
+        head.substr(start, position == std::string_view::npos ? position : position - start);
     const std::size_t colon = line.find(':');
     if (colon == std::string_view::npos || lower(line.substr(0, colon)) != name) continue;
     std::string_view value = line.substr(colon + 1);
@@ -33,14 +40,14 @@
 }
 
 bool listHas(const std::string& list, std::string_view wanted) {
-  std::size_t at = 0;
-  while (at <= list.size()) {
-    const std::size_t comma = std::min(list.find(',', at), list.size());
-    std::string one = list.substr(at, comma - at);
-    while (!one.empty() && one.front() == ' ') one.erase(0, 1);
-    while (!one.empty() && one.back() == ' ') one.pop_back();
-    if (lower(one) == wanted) return true;
-    at = comma + 1;
+  std::size_t position = 0;
+  while (position <= list.size()) {
+    const std::size_t comma = std::min(list.find(',', position), list.size());
+    std::string item = list.substr(position, comma - position);
+    while (!item.empty() && item.front() == ' ') item.erase(0, 1);
+    while (!item.empty() && item.back() == ' ') item.pop_back();
+    if (lower(item) == wanted) return true;
+    position = comma + 1;
   }
   return false;
 }
@@ -55,15 +62,15 @@
 }  // namespace
 
 std::string acceptKeyFor(std::string_view key) {
-  const std::string whole = std::string(key) + "258EAFA5-E914-47DA-95CA-C5AB0DC85B11";
+  const std::string keyAndGuid = std::string(key) + handshakeGuid;
   std::array<unsigned char, EVP_MAX_MD_SIZE> digest{};
   unsigned size = 0;
-  EVP_Digest(whole.data(), whole.size(), digest.data(), &size, EVP_sha1(), nullptr);
+  EVP_Digest(keyAndGuid.data(), keyAndGuid.size(), digest.data(), &size, EVP_sha1(), nullptr);
   return base64(digest.data(), size);
 }
 
 std::string generateKey() {
-  std::array<unsigned char, 16> bytes{};
+  std::array<unsigned char, keyBytes> bytes{};
   randombytes_buf(bytes.data(), bytes.size());
   return base64(bytes.data(), bytes.size());
 }
@@ -76,14 +83,14 @@
 }
 
 HandshakeReply answerHandshake(std::string_view head) {
-  const std::string_view first = head.substr(0, head.find("\r\n"));
-  if (!first.starts_with("GET ") || !first.ends_with(" HTTP/1.1"))
+  const std::string_view requestLine = head.substr(0, head.find("\r\n"));
+  if (!requestLine.starts_with("GET ") || !requestLine.ends_with(" HTTP/1.1"))
     return {false, refusal(405, "Method Not Allowed", 0)};
   if (lower(headerOf(head, "upgrade")) != "websocket" || !listHas(headerOf(head, "connection"), "upgrade"))
     return {false, refusal(400, "Bad Request", 0)};
   if (headerOf(head, "sec-websocket-version") != "13") return {false, refusal(426, "Upgrade Required", 0)};
   const std::string key = headerOf(head, "sec-websocket-key");
-  if (key.size() != 24 || !listHas(headerOf(head, "sec-websocket-protocol"), subprotocol))
+  if (key.size() != encodedKeyLength || !listHas(headerOf(head, "sec-websocket-protocol"), subprotocol))
     return {false, refusal(400, "Bad Request", 0)};
   return {true,
           "HTTP/1.1 101 Switching Protocols\r\nUpgrade: websocket\r\nConnection: Upgrade\r\n"
--- a/src/websocket/messages.h
+++ b/src/websocket/messages.h
@@ -1,6 +1,5 @@
-// The session protocol's messages as JSON and back (docs/protocol/session-websocket.md). No socket, no
-// meaning. Errors: BadMessage, with the close code that the page names for it. Times on the wire are
-// milliseconds.
+// Serialization of the session protocol's messages as JSON (docs/protocol/session-websocket.md). Pure
+// functions. Times are milliseconds in JSON and microseconds in the structs.
 #pragma once
 
 #include <stdexcept>
@@ -12,6 +11,7 @@
 
 namespace lupinsill::websocket {
 
+// An invalid message, with the WebSocket close code for it.
 struct BadMessage : std::runtime_error {
   BadMessage(int closeCode, const std::string& what) : std::runtime_error(what), code(closeCode) {}
   int code;
@@ -23,9 +23,11 @@
 using session_api::PlayMessage;
 using PlayerMessage = std::variant<PlayMessage, LeaveMessage>;
 
+// Throws BadMessage.
 PlayerMessage parsePlayerMessage(std::string_view text);
-std::string toJson(const PlayMessage& ask);
+std::string toJson(const PlayMessage& request);
 std::string toJson(const LeaveMessage& leave);
+// Throws BadMessage.
 AnswerMessage parseAnswer(std::string_view text);
 std::string toJson(const AnswerMessage& answer);
 
