--- a/client/grpc/transport.cpp
+++ b/client/grpc/transport.cpp
@@ -74,7 +74,7 @@
       return;
     }
     wire->byStream[stream] = this;
-    wire->http->send(stream, grpc::lengthPrefixed(grpc::bytesOf(message)));
+    wire->http->send(stream, grpc::lengthPrefixed(grpc::serialize(message)));
   }
   void leave() override {
     if (wire == nullptr || stream == 0) return;
--- a/client/session/session_client.cpp
+++ b/client/session/session_client.cpp
@@ -45,7 +45,7 @@
   auto wished = std::make_unique<Wished>();
   wished->want = want;
   // Nobody else may ever have used it: a key that meets another one's is answered from theirs.
-  const std::string key = websocket::freshKey();
+  const std::string key = websocket::generateKey();
   wished->onResult = std::move(onResult);
   wished->onEnd = std::move(onEnd);
   wished->onRung = std::move(onRung);
--- a/src/grpc/calls.cpp
+++ b/src/grpc/calls.cpp
@@ -306,7 +306,7 @@
   if (message.kind == session_api::AnswerKind::playing || message.kind == session_api::AnswerKind::rung ||
       message.kind == session_api::AnswerKind::ended) {
     sendResponseHeaders(connection, stream, peer.calls.at(stream));
-    connection.send(stream, lengthPrefixed(bytesOf(message)));
+    connection.send(stream, lengthPrefixed(serialize(message)));
   }
   if (ends) finish(connection, stream, trailersOf(message));
   return true;
--- a/src/grpc/messages.cpp
+++ b/src/grpc/messages.cpp
@@ -98,7 +98,7 @@
   return out;
 }
 
-std::string bytesOf(const PlayMessage& message) {
+std::string serialize(const PlayMessage& message) {
   wire::FromPlayer from;
   wire::Ask& ask = *from.mutable_ask();
   ask.set_key(message.key);
@@ -122,7 +122,7 @@
   return from.SerializeAsString();
 }
 
-std::string bytesOf(const AnswerMessage& answer) {
+std::string serialize(const AnswerMessage& answer) {
   wire::ToPlayer to;
   if (answer.kind == AnswerKind::playing) {
     wire::Playing& playing = *to.mutable_playing();
--- a/src/grpc/messages.h
+++ b/src/grpc/messages.h
@@ -25,11 +25,11 @@
   std::string error;
 };
 PlayerMessage parsePlayerMessage(std::string_view bytes);
-std::string bytesOf(const session_api::PlayMessage& request);
+std::string serialize(const session_api::PlayMessage& request);
 std::string serializeLeave();
 
 // Only playing, rung and ended are sent as messages; the other answers are sent as a status.
-std::string bytesOf(const session_api::AnswerMessage& answer);
+std::string serialize(const session_api::AnswerMessage& answer);
 std::optional<session_api::AnswerMessage> parseAnswer(std::string_view bytes);
 
 std::string serializeWhoReply(const std::string& director);
--- a/tests/grpc_test.cpp
+++ b/tests/grpc_test.cpp
@@ -70,19 +70,19 @@
   session_api::PlayMessage request;
   request.key = "front-1:k", request.viewer = "v", request.title = "t", request.room = "r", request.top = 3,
   request.timeout = 5'000'000;
-  PlayerMessage message = parsePlayerMessage(bytesOf(request));
+  PlayerMessage message = parsePlayerMessage(serialize(request));
   REQUIRE(message.kind == PlayerMessage::Kind::request);
   CHECK(message.request.key == "front-1:k");
   CHECK(message.request.timeout == 5'000'000);
   CHECK(message.request.top == 3);
   request.viewer = std::string(129, 'v');
-  CHECK(parsePlayerMessage(bytesOf(request)).error == "viewer: 1 to 128 bytes expected");
+  CHECK(parsePlayerMessage(serialize(request)).error == "viewer: 1 to 128 bytes expected");
   CHECK(parsePlayerMessage("\xff\xff").kind == PlayerMessage::Kind::invalid);
   CHECK(parsePlayerMessage("").kind == PlayerMessage::Kind::invalid);
   CHECK(parsePlayerMessage(serializeLeave()).kind == PlayerMessage::Kind::leave);
   std::minstd_rand rng(9);
   for (int i = 0; i < 20'000; ++i) {
-    std::string bytes = bytesOf(request);
+    std::string bytes = serialize(request);
     for (int n = 0; n < 3; ++n) bytes[rng() % bytes.size()] = static_cast<char>(rng());
     // Accepted fields must be safe to pass on unchanged to logs, headers and files.
     const PlayerMessage corrupted = parsePlayerMessage(bytes);
