--- a/src/director/log.h
+++ b/src/director/log.h
@@ -8,6 +8,7 @@
 
 namespace lupinsill::director {
 
+// Severity of an event.
 enum class Level { debug, info, warn, error };
 // Names and values of an event's fields, in the order in which they are written.
 using Fields = std::initializer_list<std::pair<const char*, std::string>>;
--- a/src/grpc/http2.h
+++ b/src/grpc/http2.h
@@ -36,6 +36,8 @@
 // Not movable; the owner must keep it until onClosed or abort().
 class Http2 {
  public:
+  // Receives the events of the connection. It may call the connection from its callbacks, but must not free
+  // it there.
   struct Handler {
     virtual ~Handler() = default;
     virtual void onOpen(Http2& connection) = 0;  // the peer's SETTINGS frame has arrived
--- a/src/grpc/messages.cpp
+++ b/src/grpc/messages.cpp
@@ -19,15 +19,20 @@
 // Disables protobuf's own log, which would let any client write to the director's log with invalid messages.
 [[maybe_unused]] const bool logSilenced = (google::protobuf::SetLogHandler(nullptr), true);
 
+// Limits that keep received numbers in the range of their types.
+constexpr std::uint32_t maxRung = 1000;
+constexpr std::uint64_t maxMilliseconds = 1'000'000'000;
+
 template <class Message>
 bool parse(Message& message, std::string_view bytes) {
   return message.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()));
 }
 
+// Zero stands for an absent field.
 std::optional<Micros> durationOf(std::uint64_t ms) {
   if (ms == 0) return std::nullopt;
   return std::min<Micros>(session_api::maxDuration,
-                          static_cast<Micros>(std::min<std::uint64_t>(ms, 1'000'000'000)) * 1000);
+                          static_cast<Micros>(std::min<std::uint64_t>(ms, maxMilliseconds)) * 1000);
 }
 
 struct ReasonStatus {
@@ -90,7 +95,7 @@
   out.request.room = check("room", request.room(), true);
   out.request.tenant = check("tenant", request.tenant(), false);
   out.request.previousDirector = check("again", request.again(), false);
-  if (request.has_top()) out.request.top = static_cast<int>(std::min<std::uint32_t>(request.top(), 1000));
+  if (request.has_top()) out.request.top = static_cast<int>(std::min<std::uint32_t>(request.top(), maxRung));
   out.request.timeout = durationOf(request.timeout_ms());
   out.request.length = durationOf(request.length_ms());
   if (request.has_again_ms()) out.request.sinceFirstSent = durationOf(request.again_ms()).value_or(0);
@@ -147,11 +152,11 @@
     answer.kind = AnswerKind::playing;
     answer.subscription = to.playing().subscription();
     answer.node = to.playing().node();
-    answer.rung = static_cast<int>(std::min<std::uint32_t>(1000, to.playing().rung()));
+    answer.rung = static_cast<int>(std::min<std::uint32_t>(maxRung, to.playing().rung()));
     answer.ticket = to.playing().ticket();
   } else if (to.has_rung()) {
     answer.kind = AnswerKind::rung;
-    answer.rung = static_cast<int>(std::min<std::uint32_t>(1000, to.rung().rung()));
+    answer.rung = static_cast<int>(std::min<std::uint32_t>(maxRung, to.rung().rung()));
   } else if (to.has_ended()) {
     answer.kind = AnswerKind::ended;
     answer.reason = to.ended().reason();
--- a/src/grpc/messages.h
+++ b/src/grpc/messages.h
@@ -35,8 +35,9 @@
 std::string serializeWhoReply(const std::string& director);
 std::optional<std::string> parseWhoReply(std::string_view bytes);
 
-// Messages of the health service; the request names the service whose status is wanted.
+// The service that a request to the health service names; nothing if the request is invalid.
 std::optional<std::string> parseHealthRequest(std::string_view bytes);
+// The status of a service as the health service reports it.
 enum class Serving { yes, no, unknownService };
 std::string serializeHealthReply(Serving serving);
 
--- a/src/websocket/channel.h
+++ b/src/websocket/channel.h
@@ -41,9 +41,11 @@
 // Not movable; the owner must keep it until onClosed or abort().
 class Channel {
  public:
+  // Receives the events of the connection. It may call the connection from its callbacks, but must not free
+  // it there.
   struct Handler {
     virtual ~Handler() = default;
-    virtual void onOpen(Channel& channel) = 0;
+    virtual void onOpen(Channel& channel) = 0;  // the handshake is complete
     virtual void onText(Channel& channel, std::string_view text) = 0;
     virtual void onClosed(Channel& channel, int code) = 0;
   };
