--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -50,7 +50,7 @@
   const store::Found contents = store::list(file);
   for (const ledger::Record& record : contents.records) {
     for (const unsigned char byte : record.key.bytes) std::printf("%02x", byte);
-    std::printf(" %-12s %lld\n", ledger::nameOf(record.mark),
+    std::printf(" %-12s %lld\n", ledger::nameOf(record.state),
                 static_cast<long long>(record.until / 1'000'000));
   }
   return contents.whole ? 0 : fail(exitFaultFound, file + ": " + contents.complaint);
--- a/src/director/director.cpp
+++ b/src/director/director.cpp
@@ -653,7 +653,8 @@
   if (!listError_.empty()) json["list"]["complaint"] = listError_;
   nlohmann::ordered_json violations = nlohmann::ordered_json::object();
   for (std::size_t i = 0; i < session::ruleCount; ++i)
-    if (statistics.held[i] != 0) violations[nameOf(static_cast<session::Rule>(i))] = statistics.held[i];
+    if (statistics.guardViolations[i] != 0)
+      violations[nameOf(static_cast<session::Rule>(i))] = statistics.guardViolations[i];
   json["guardsHeld"] = violations;
   return json.dump(2) + "\n";
 }
@@ -720,14 +721,14 @@
       {{"", toDouble(front.rungChanges)}});
   std::vector<std::pair<std::string, double>> violations;
   for (std::size_t i = 0; i < session::ruleCount; ++i)
-    violations.emplace_back(nameOf(static_cast<session::Rule>(i)), toDouble(front.held[i]));
+    violations.emplace_back(nameOf(static_cast<session::Rule>(i)), toDouble(front.guardViolations[i]));
   add("lupinsill_guard_held_total", "Actions blocked by a guard, by rule; any value above 0 is a defect",
       true, violations, "rule");
   add("lupinsill_open_asks", "Requests not answered yet", false, {{"", toDouble(front.open)}});
   add("lupinsill_subscriptions", "Playing subscriptions", false, {{"", toDouble(front.plays)}});
   add("lupinsill_asks_doubted_total",
       "Repeats answered as possibly run because their record may have been lost", true,
-      {{"", toDouble(front.doubted)}});
+      {{"", toDouble(front.uncertainRepeats)}});
   if (store_)
     add("lupinsill_ledger_commits_total", "Group commits of the ledger", true,
         {{"", toDouble(store_->commits())}});
