--- a/src/grpc/messages.cpp
+++ b/src/grpc/messages.cpp
@@ -32,7 +32,7 @@
 std::optional<Micros> durationOf(std::uint64_t ms) {
   if (ms == 0) return std::nullopt;
   return std::min<Micros>(session_api::maxDuration,
-                          static_cast<Micros>(std::min<std::uint64_t>(ms, maxMilliseconds)) * 1000);
+                          static_cast<Micros>(std::min(ms, std::uint64_t{maxMilliseconds})) * 1000);
 }
 
 struct ReasonStatus {
@@ -152,11 +152,11 @@
     answer.kind = AnswerKind::playing;
     answer.subscription = to.playing().subscription();
     answer.node = to.playing().node();
-    answer.rung = static_cast<int>(std::min<std::uint32_t>(maxRung, to.playing().rung()));
+    answer.rung = static_cast<int>(std::min(std::uint32_t{maxRung}, to.playing().rung()));
     answer.ticket = to.playing().ticket();
   } else if (to.has_rung()) {
     answer.kind = AnswerKind::rung;
-    answer.rung = static_cast<int>(std::min<std::uint32_t>(maxRung, to.rung().rung()));
+    answer.rung = static_cast<int>(std::min(std::uint32_t{maxRung}, to.rung().rung()));
   } else if (to.has_ended()) {
     answer.kind = AnswerKind::ended;
     answer.reason = to.ended().reason();
