--- a/tests/director_test.cpp
+++ b/tests/director_test.cpp
@@ -421,7 +421,7 @@
 struct ClientPlayer {
   net::EventBase base{event_base_new()};
   client::SessionClient client;
-  client::Heard result;
+  client::SubscriptionResult result;
   int results = 0, ends = 0;
   std::string end;
   client::RequestId requestId = 0;
@@ -434,15 +434,16 @@
     return list;
   }
   static client::RetryPolicy retryPolicy() {
-    client::RetryPolicy m;
-    m.building = "here";
-    return m;
+    client::RetryPolicy policy;
+    policy.zone = "here";
+    return policy;
   }
   void request(const std::string& room, client::Micros timeout = 20'000'000) {
-    client::Want clientRequest{"v", "t", room, room == "paid-class"};
+    client::SubscriptionRequest clientRequest{"v", "t", room, room == "paid-class"};
     clientRequest.timeout = timeout;
-    requestId = client.ask(
-        clientRequest, [this](client::RequestId, const client::Heard& answer) { result = answer, ++results; },
+    requestId = client.subscribe(
+        clientRequest,
+        [this](client::RequestId, const client::SubscriptionResult& answer) { result = answer, ++results; },
         [this](client::RequestId, const std::string& why, client::Micros) { end = why, ++ends; });
   }
   void until(const std::function<bool()>& done) { runLoop(base.get(), 15'000, done); }
@@ -530,7 +531,7 @@
     void onHello(const std::string&) override {
       session_api::PlayMessage message;
       message.key = "front-1:k", message.viewer = "v", message.title = "t", message.room = "paid-class";
-      link->ask(message);
+      link->sendPlay(message);
     }
     void onAnswer(const session_api::AnswerMessage& answer) override { answers.push_back(answer); }
     void onLost(bool) override {}
@@ -615,9 +616,11 @@
       base.get(), grpc ? client::makeGrpc(base.get(), connect) : client::makeWebSocket(base.get(), connect),
       ClientPlayer::at({grpc ? d.grpc : d.players}), ClientPlayer::retryPolicy(), 5);
   std::optional<client::Result> result;
-  client::Want clientRequest{"v", "t", "recipe-clip"};
+  client::SubscriptionRequest clientRequest{"v", "t", "recipe-clip"};
   clientRequest.timeout = 2'000'000;
-  client.ask(clientRequest, [&](client::RequestId, const client::Heard& answer) { result = answer.result; });
+  client.subscribe(clientRequest, [&](client::RequestId, const client::SubscriptionResult& answer) {
+    result = answer.result;
+  });
   runLoop(base.get(), 6000, [&] { return result.has_value(); });
   REQUIRE(result.has_value());
   return *result;
