--- a/client/grpc/transport.cpp
+++ b/client/grpc/transport.cpp
@@ -27,7 +27,7 @@
   std::unique_ptr<Http2> http;
   std::string director;  // the director's name; empty until its Who reply has arrived
   StreamId whoStream = 0;
-  grpc::Reader whoReader{maxMessageBytes};
+  grpc::MessageReader whoReader{maxMessageBytes};
   bool lost = false;             // closing or closed: takes no further links
   std::vector<GrpcLink*> links;  // in the order of creation
   std::map<StreamId, GrpcLink*> byStream;
@@ -81,11 +81,11 @@
       return;
     }
     connection->byStream[stream] = this;
-    connection->http->send(stream, grpc::framed(grpc::bytesOf(message)));
+    connection->http->send(stream, grpc::lengthPrefixed(grpc::serialize(message)));
   }
   void leave() override {
     if (connection == nullptr || stream == 0) return;
-    connection->http->send(stream, grpc::framed(grpc::leaveBytes()));
+    connection->http->send(stream, grpc::lengthPrefixed(grpc::serializeLeave()));
     connection->http->end(stream);
   }
   bool flushed() const override { return connection == nullptr || connection->http->flushed(); }
@@ -99,7 +99,7 @@
   Connection* connection;
   LinkHandler& handler;
   StreamId stream = 0;
-  grpc::Reader reader{maxMessageBytes};
+  grpc::MessageReader reader{maxMessageBytes};
   bool helloReported = false;
   bool refused = false;   // its stream could not be opened
   bool finished = false;  // its last event has been reported
@@ -166,7 +166,7 @@
                                                    {":path", std::string(grpc::whoPath)},
                                                    {"content-type", "application/grpc"},
                                                    {"te", "trailers"}});
-  connection.http->send(connection.whoStream, grpc::framed(""));
+  connection.http->send(connection.whoStream, grpc::lengthPrefixed(""));
   connection.http->end(connection.whoStream);
 }
 
@@ -183,14 +183,14 @@
 
 void GrpcTransport::onHeaders(Http2& http, StreamId stream, const Headers& headers) {
   Connection* connection = connectionOf(http);
-  if (connection == nullptr || grpc::valueOf(headers, "grpc-status").empty()) return;
+  if (connection == nullptr || grpc::headerValue(headers, "grpc-status").empty()) return;
   const auto it = connection->byStream.find(stream);
   if (it == connection->byStream.end()) return;
   GrpcLink& link = *it->second;
-  const grpc::Trailers trailers = grpc::readTrailers(headers);
+  const grpc::Trailers trailers = grpc::parseTrailers(headers);
   if (link.finished) return;
   // Trailers that a director did not write leave the outcome of the request unknown.
-  if (!trailers.ours) return link.reportLost(false);
+  if (!trailers.fromDirector) return link.reportLost(false);
   link.finished = true;
   // An `ended` was reported already, from its message.
   if (trailers.answer.kind != session_api::AnswerKind::ended) link.handler.onAnswer(trailers.answer);
@@ -202,7 +202,7 @@
   if (stream == connection->whoStream) {
     connection->whoReader.feed(bytes);
     const auto message = connection->whoReader.next();
-    const auto director = message ? grpc::readWhoReply(*message) : std::nullopt;
+    const auto director = message ? grpc::parseWhoReply(*message) : std::nullopt;
     if (!director) return;
     connection->director = *director;
     return reportHello(*connection);
@@ -214,7 +214,7 @@
   while (!link.finished) {
     const auto message = link.reader.next();
     if (!message) return;
-    const auto answer = grpc::readAnswer(*message);
+    const auto answer = grpc::parseAnswer(*message);
     if (!answer) continue;  // a newer director may send messages that this library does not know
     // Only the stream's trailers follow an `ended`, and they add nothing.
     if (answer->kind == session_api::AnswerKind::ended) link.finished = true;
--- a/client/session/session_client.cpp
+++ b/client/session/session_client.cpp
@@ -49,7 +49,7 @@
   subscription->request = request;
   // Must be unique across all clients: a director answers a key that it knows with the result of the earlier
   // request.
-  const std::string key = websocket::freshKey();
+  const std::string key = websocket::generateKey();
   subscription->onResult = std::move(onResult);
   subscription->onEnd = std::move(onEnd);
   subscription->onRung = std::move(onRung);
--- a/client/websocket/transport.cpp
+++ b/client/websocket/transport.cpp
@@ -43,9 +43,9 @@
   void sendPlay(const session_api::PlayMessage& message) override {
     session_api::PlayMessage named = message;
     named.id = requestName;
-    channel_.sendText(websocket::textOf(named));
+    channel_.sendText(websocket::toJson(named));
   }
-  void leave() override { channel_.sendText(websocket::textOf(session_api::LeaveMessage{requestName})); }
+  void leave() override { channel_.sendText(websocket::toJson(session_api::LeaveMessage{requestName})); }
   bool flushed() const override { return channel_.dead() || channel_.unsent() == 0; }
   void tick(Micros now) { channel_.tick(now); }
 
@@ -54,7 +54,7 @@
   void onText(websocket::Channel&, std::string_view text) override {
     session_api::AnswerMessage answer;
     try {
-      answer = websocket::readAnswer(text);
+      answer = websocket::parseAnswer(text);
     } catch (const websocket::BadMessage&) {
       return;  // a newer director may send messages that this library does not know
     }
--- a/tests/messages_test.cpp
+++ b/tests/messages_test.cpp
@@ -14,7 +14,7 @@
 // Returns the close code for a message from a player; 0: the message is valid.
 int closeCodeOf(const std::string& text) {
   try {
-    readPlayerMessage(text);
+    parsePlayerMessage(text);
   } catch (const BadMessage& error) {
     return error.code;
   }
@@ -23,22 +23,22 @@
 }  // namespace
 
 TEST_CASE("The handshake follows the example in RFC 6455, and wrong requests get the status that says why") {
-  CHECK(acceptOf("dGhlIHNhbXBsZSBub25jZQ==") == "s3pPLMBiTxaQ9kYGzzhZRbK+xOo=");
-  const std::string validRequest = openingRequest("host", "dGhlIHNhbXBsZSBub25jZQ==");
-  const Opening opening = answerOpening(validRequest);
-  CHECK(opening.good);
-  CHECK(acceptsOpening(opening.reply, "dGhlIHNhbXBsZSBub25jZQ=="));
-  CHECK_FALSE(acceptsOpening(opening.reply, "AAAAIHNhbXBsZSBub25jZQ=="));
+  CHECK(acceptKeyFor("dGhlIHNhbXBsZSBub25jZQ==") == "s3pPLMBiTxaQ9kYGzzhZRbK+xOo=");
+  const std::string validRequest = handshakeRequest("host", "dGhlIHNhbXBsZSBub25jZQ==");
+  const HandshakeReply opening = answerHandshake(validRequest);
+  CHECK(opening.accepted);
+  CHECK(isValidHandshakeReply(opening.response, "dGhlIHNhbXBsZSBub25jZQ=="));
+  CHECK_FALSE(isValidHandshakeReply(opening.response, "AAAAIHNhbXBsZSBub25jZQ=="));
   std::string oldVersion = validRequest;
   oldVersion.replace(oldVersion.find("Version: 13"), 11, "Version: 8 ");
-  CHECK(answerOpening(oldVersion).reply.starts_with("HTTP/1.1 426"));
-  CHECK(answerOpening("POST / HTTP/1.1\r\n\r\n").reply.starts_with("HTTP/1.1 405"));
-  CHECK(answerOpening("GET / HTTP/1.1\r\n\r\n").reply.starts_with("HTTP/1.1 400"));
+  CHECK(answerHandshake(oldVersion).response.starts_with("HTTP/1.1 426"));
+  CHECK(answerHandshake("POST / HTTP/1.1\r\n\r\n").response.starts_with("HTTP/1.1 405"));
+  CHECK(answerHandshake("GET / HTTP/1.1\r\n\r\n").response.starts_with("HTTP/1.1 400"));
 }
 
 TEST_CASE("Messages are the same after encoding and decoding") {
   PlayMessage message{"a1", "key", "viewer", "title", "paid-class", "", 4, 3'000'000, 60'000'000, "front-2"};
-  const auto decoded = std::get<PlayMessage>(readPlayerMessage(textOf(message)));
+  const auto decoded = std::get<PlayMessage>(parsePlayerMessage(toJson(message)));
   CHECK(decoded.key == "key");
   CHECK(decoded.top == 4);
   CHECK(decoded.previousDirector == "front-2");
@@ -49,7 +49,7 @@
   answer.id = "a1";
   answer.reason = "no-room";
   answer.retryAfter = 500'001;
-  const AnswerMessage decodedAnswer = readAnswer(textOf(answer));
+  const AnswerMessage decodedAnswer = parseAnswer(toJson(answer));
   CHECK(decodedAnswer.kind == AnswerKind::throttled);
   CHECK(decodedAnswer.retryAfter == 501'000);  // rounded up to whole milliseconds
 }
