--- a/bench/ledger.cpp
+++ b/bench/ledger.cpp
@@ -46,11 +46,11 @@
   const store::Store store(file, megabytes, offset, [] {});
   const double read = seconds(start);
   ledger::Ledger ledger(memory, static_cast<std::size_t>(records) + 1, true);
-  ledger.recover(net::monotonicNow(), store.found().records, store.found().whole);
+  ledger.recover(net::monotonicNow(), store.loadResult().records, store.loadResult().intact);
   rusage used{};
   getrusage(RUSAGE_SELF, &used);
   std::printf("started: %.2f s in all, %.2f of it reading; %zu keys known, %s, %ld MB at most\n",
-              seconds(start), read, ledger.size(), store.found().whole ? "whole" : "damaged",
+              seconds(start), read, ledger.size(), store.loadResult().intact ? "whole" : "damaged",
               used.ru_maxrss / 1024);
   return 0;
 }
--- a/bench/load.cpp
+++ b/bench/load.cpp
@@ -111,7 +111,7 @@
   struct Link {
     Peers* peers;
     net::BufferEvent bufferEvent;
-    media::Reader reader;
+    media::MessageParser reader;
     int sessions = 0;
   };
   std::vector<std::unique_ptr<Link>> links;
@@ -160,7 +160,7 @@
     while (const auto message = link.reader.next()) {
       if (message->method == "SETUP") {
         ++link.sessions;
-        const std::string key = media::unescaped(message->header("Lupinsill-Ask"));
+        const std::string key = media::percentDecode(message->header("Lupinsill-Ask"));
         const auto it = link.peers->sent.find(key.substr(key.find(':') + 1));
         if (it != link.peers->sent.end()) link.peers->joinTimes.push_back(net::monotonicNow() - it->second);
       }
@@ -171,7 +171,7 @@
         reply.headers.emplace_back("Session", std::to_string(link.sessions));
       reply.headers.emplace_back("Endpoint-Load-Metrics",
                                  "TEXT application_utilization=0.3000, named_metrics.uplink=0.3000");
-      out += reply.bytes();
+      out += reply.serialize();
     }
     evbuffer_add(bufferevent_get_output(bufferEvent), out.data(), out.size());
   }
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -32,7 +32,7 @@
 
 settings::Endpoint endpointOf(const std::string& text) {
   const std::size_t colon = text.rfind(':');
-  if (colon == std::string::npos) throw settings::BadSettings(text + ": expected host:port");
+  if (colon == std::string::npos) throw settings::SettingsError(text + ": expected host:port");
   return {text.substr(0, colon), std::atoi(text.c_str() + colon + 1)};
 }
 
@@ -44,25 +44,25 @@
 }
 
 int listLedger(const std::string& file) {
-  const store::Found stands = store::list(file);
+  const store::LoadResult stands = store::readRecords(file);
   for (const ledger::Record& record : stands.records) {
     for (const unsigned char byte : record.key.bytes) std::printf("%02x", byte);
     std::printf(" %-12s %lld\n", ledger::nameOf(record.mark),
                 static_cast<long long>(record.until / 1'000'000));
   }
-  return stands.whole ? 0 : complain(found, file + ": " + stands.complaint);
+  return stands.intact ? 0 : complain(found, file + ": " + stands.error);
 }
 
 int checkTicket(const std::string& keyFile, const std::string& atNode, const std::string& text) {
   ticket::Claims claims;
   const ticket::Verdict verdict =
-      ticket::check(ticket::readKeys(keyFile), text, net::wallNow() / 1'000'000, claims, atNode);
+      ticket::verify(ticket::readKeys(keyFile), text, net::wallNow() / 1'000'000, claims, atNode);
   std::printf("%s", ticket::nameOf(verdict));
   if (!claims.subscription.empty())
     std::printf(" subscription=%s node=%s rung=%d expires=%lld", claims.subscription.c_str(),
                 claims.node.c_str(), claims.rung, static_cast<long long>(claims.expires));
   std::printf("\n");
-  return verdict == ticket::Verdict::good ? 0 : found;
+  return verdict == ticket::Verdict::valid ? 0 : found;
 }
 
 int runLab(const lab::RunOptions& options) {
@@ -286,7 +286,7 @@
       return 0;
     }
     if (show->parsed()) {
-      std::fputs(settings::shown(file).c_str(), stdout);
+      std::fputs(settings::formatWithDefaults(file).c_str(), stdout);
       return 0;
     }
     if (ticketCheck->parsed()) return checkTicket(keyFile, atNode, ticketText);
@@ -322,7 +322,7 @@
         return complain(wrong, "--plant " + options.plant + ": see `lupinsill lab plants`");
       return runLab(options);
     }
-  } catch (const settings::BadSettings& bad) {
+  } catch (const settings::SettingsError& bad) {
     return complain(wrong, bad.what());
   } catch (const control_settings::InvalidInput& bad) {
     return complain(wrong, bad.what());
--- a/src/director/director.cpp
+++ b/src/director/director.cpp
@@ -146,7 +146,7 @@
 }
 
 session::Limits boundsOf(const settings::Deployment& deployment, const Hooks& hooks) {
-  session::Limits bounds = deployment.bounds;
+  session::Limits bounds = deployment.sessionLimits;
   bounds.guardsEnabled = hooks.guardsEnabled;
   bounds.keysStored = bounds.keysStored && hooks.recorded;
   return bounds;
@@ -176,7 +176,7 @@
 admission::Limits deskBounds(const settings::Deployment& deployment) {
   admission::Limits bounds;
   bounds.peers = static_cast<std::size_t>(deployment.sockets.connections);
-  bounds.maxCallsPerPeer = static_cast<std::size_t>(deployment.sockets.asksPerSocket);
+  bounds.maxCallsPerPeer = static_cast<std::size_t>(deployment.sockets.requestsPerSocket);
   bounds.requestTimeout = deployment.sockets.handshake;
   return bounds;
 }
@@ -207,16 +207,18 @@
       webTls_(tlsOf(net::Tls::Side::server, deployment_.playersTls, "http/1.1")),
       grpcTls_(tlsOf(net::Tls::Side::server, deployment_.playersTls, "h2")),
       nodesTls_(tlsOf(net::Tls::Side::client, deployment_.nodesTls, "")),
-      membership_(deployment_.terms.cells, deployment_.leastKept, deployment_.bounds.grace),
-      front_(deployment_.terms, boundsOf(deployment_, start.hooks), deciderOf(start, deployment_.terms)),
+      membership_(deployment_.controlSettings.cells, deployment_.minRetainedShare,
+                  deployment_.sessionLimits.grace),
+      front_(deployment_.controlSettings, boundsOf(deployment_, start.hooks),
+             deciderOf(start, deployment_.controlSettings)),
       nodes_(base_.get(), *this, runName_, deployment_.nodes, connectOf(nodesTls_.get())),
       reception_({deployment_.name, deployment_.roomTypes, deployment_.tenants, deployment_.clientTimeouts},
-                 deployment_.terms.roomTypes),
+                 deployment_.controlSettings.roomTypes),
       desk_(deskBounds(deployment_)) {
   makeAnswerTimes();
   setUpLog(deployment_.logLevel, deployment_.logForm, deployment_.name);
   startedAt_ = net::monotonicNow();
-  ticketKeys_ = deployment_.ticketKeyFile.empty() ? ticket::KeyRing{ticket::freshKey()}
+  ticketKeys_ = deployment_.ticketKeyFile.empty() ? ticket::KeyRing{ticket::generateKey()}
                                                   : ticket::readKeys(deployment_.ticketKeyFile);
   if (deployment_.ticketKeyFile.empty())
     log(Level::warn, "tickets-unshared", {{"why", "no key-file: a key was drawn for this run alone"}});
@@ -226,11 +228,12 @@
   // The list of before a restart comes first: it is all there is if the list's source is out of reach.
   try {
     const Micros offset = net::monotonicNow() - net::wallNow();
-    front_.listUpdated(membership_.restore(settings::readNodes(deployment_.keptAs, deployment_, offset)));
+    front_.listUpdated(
+        membership_.restore(settings::readNodes(deployment_.listCacheFile, deployment_, offset)));
     log(Level::info, "list-kept",
         {{"version", std::to_string(membership_.version())},
          {"nodes", std::to_string(membership_.endpoints().size())}});
-  } catch (const settings::BadSettings& bad) {
+  } catch (const settings::SettingsError& bad) {
     log(Level::info, "list-not-kept", {{"why", bad.what()}});
     front_.listUpdated({ListKind::cachedSnapshot, {}});
   }
@@ -280,18 +283,18 @@
                                             const std::uint64_t one = 1;
                                             if (write(fd, &one, sizeof one) < 0) return;  // full: it is awake
                                           });
-  const store::Found& found = store_->found();
+  const store::LoadResult& found = store_->loadResult();
   // Guards against a ledger that was deleted, which looks like a first start: who says "again" is believed
   // then, and a first start has nobody who could say so in earnest.
-  front_.recover(net::monotonicNow(), found.records, found.whole && !found.fresh);
-  if (found.whole && found.fresh)
+  front_.recover(net::monotonicNow(), found.records, found.intact && !found.created);
+  if (found.intact && found.created)
     log(Level::warn, "ledger-new",
         {{"file", deployment_.ledgerFile}, {"so", "repeats that say so are answered as if they had run"}});
-  else if (found.whole)
+  else if (found.intact)
     log(Level::info, "ledger", {{"records", std::to_string(found.records.size())}});
   else
     log(Level::error, "ledger-damaged",
-        {{"why", found.complaint},
+        {{"why", found.error},
          {"kept", std::to_string(found.records.size())},
          {"so", "repeats of paid asks are answered as if they had run"}});
 }
@@ -357,7 +360,7 @@
   follow();
   for (admission::PlayerServer* door : doors_) door->tick(now);
   nodes_.tick(now);
-  if (now - lookedAt_ >= deployment_.lookEvery) look(false);
+  if (now - lookedAt_ >= deployment_.listPollInterval) look(false);
   if (ListUpdate told = membership_.confirmRemovals(now); !told.entries.empty()) {
     log(Level::warn, "list-confirmed", {{"gone", std::to_string(told.entries.size())}});
     front_.listUpdated(std::move(told));
@@ -551,7 +554,7 @@
     ++listApplied_;
     if (!told.entries.empty() || told.kind == ListKind::snapshot) front_.listUpdated(std::move(told));
     keepList(bytes);
-  } catch (const settings::BadSettings& bad) {
+  } catch (const settings::SettingsError& bad) {
     // The list of before stays in force: no list is worse than an old one.
     ++listRefused_;
     listComplaint_ = bad.what();
@@ -560,14 +563,14 @@
 }
 
 void Director::keepList(const std::string& bytes) {
-  if (!writeWhole(deployment_.keptAs, bytes))
-    log(Level::error, "list-not-kept", {{"file", deployment_.keptAs}});
+  if (!writeWhole(deployment_.listCacheFile, bytes))
+    log(Level::error, "list-not-kept", {{"file", deployment_.listCacheFile}});
 }
 
 void Director::reload() {
   try {
     settings::Deployment next = settings::readDeployment(start_.settingsFile);
-    const std::vector<std::string> unsafe = settings::unsafeChanges(deployment_, next);
+    const std::vector<std::string> unsafe = settings::changesNeedingRestart(deployment_, next);
     if (!unsafe.empty()) {
       std::string names;
       for (const std::string& name : unsafe) names += (names.empty() ? "" : ", ") + name;
@@ -724,13 +727,13 @@
   add("lupinsill_node_connections", "Connections to media nodes", false, {{"", real(n.connections)}});
   add("lupinsill_node_connections_total", "Connections to media nodes, by what became of them", true,
       {{"opened", real(n.connects)},
-       {"failed", real(n.connectsFailed)},
-       {"lost", real(n.lost)},
-       {"bad-bytes", real(n.badBytes)},
-       {"stuck", real(n.stuck)}},
+       {"failed", real(n.connectFailures)},
+       {"lost", real(n.connectionsLost)},
+       {"bad-bytes", real(n.parseErrors)},
+       {"stuck", real(n.sendBuffersFull)}},
       "what");
   add("lupinsill_node_late_answers_total", "Answers of nodes to joins given up on", true,
-      {{"", real(n.lateAnswers)}});
+      {{"", real(n.lateResponses)}});
   add("lupinsill_list_version", "Version of the list of nodes in force", false,
       {{"", real(membership_.version())}});
   add("lupinsill_list_total", "Lists read, by what was done with them", true,
--- a/src/director/director.h
+++ b/src/director/director.h
@@ -1,6 +1,6 @@
 // A running director: sockets and the real clock on one side, the session core on the other, one event loop
 // between. It carries events in and orders out and decides nothing.
-// Errors at start: settings::BadSettings, net::ListenError or std::runtime_error, each one line of text; a
+// Errors at start: settings::SettingsError, net::ListenError or std::runtime_error, each one line of text; a
 // director that has started ends only when told to.
 #pragma once
 
--- a/src/grpc/calls.cpp
+++ b/src/grpc/calls.cpp
@@ -9,7 +9,7 @@
   Http2Limits out;
   // A few above the desk's bound, so that the desk is what answers, with a time to come back; and room for
   // health and the like.
-  out.streams = static_cast<std::size_t>(limits.asksPerSocket) + 8;
+  out.streams = static_cast<std::size_t>(limits.requestsPerSocket) + 8;
   out.unsentBytes = limits.unsentBytes;
   out.handshake = limits.handshake;
   out.pingEvery = limits.pingEvery;
--- a/src/history/history.cpp
+++ b/src/history/history.cpp
@@ -36,11 +36,11 @@
 
 History read(const std::string& file) {
   std::ifstream in(file);
-  if (!in) throw settings::BadSettings(file + ": cannot be read");
+  if (!in) throw settings::SettingsError(file + ": cannot be read");
   History h;
   int number = 0;
   const auto bad = [&](const std::string& why) {
-    throw settings::BadSettings(file + ":" + std::to_string(number) + ": " + why);
+    throw settings::SettingsError(file + ":" + std::to_string(number) + ": " + why);
   };
   for (std::string line; std::getline(in, line);) {
     ++number;
@@ -74,7 +74,7 @@
     if (one.what == What::wish) {
       double length = 0;
       if (!(text >> one.room >> one.title >> one.top >> length)) bad("room, title, top and length expected");
-      if (one.room < 0 || one.room >= static_cast<int>(h.deployment.terms.roomTypes.size()))
+      if (one.room < 0 || one.room >= static_cast<int>(h.deployment.controlSettings.roomTypes.size()))
         bad("no such room");
       one.length = static_cast<Micros>(length * ms);
     } else {
@@ -109,7 +109,7 @@
   h.settingsFile = settingsFile;
   h.deployment = settings::readDeployment(settingsFile);
   h.seed = seed;
-  const ControlSettings& terms = h.deployment.terms;
+  const ControlSettings& terms = h.deployment.controlSettings;
   h.directors = 1 + static_cast<int>(chance.below(4));
   const bool blackout = seed % 8 == 0;
   if (blackout) h.directors = 12;
--- a/src/history/history.h
+++ b/src/history/history.h
@@ -1,6 +1,6 @@
 // A history: what the world did to a deployment, in the order in which it did it, so that the real decisions
 // can be driven by it again on a simulated clock. Recorded from a day of the lab, or drawn from a seed.
-// Notation: docs/protocol/history.md. Errors: settings::BadSettings.
+// Notation: docs/protocol/history.md. Errors: settings::SettingsError.
 #pragma once
 
 #include <cstdint>
--- a/src/history/play.cpp
+++ b/src/history/play.cpp
@@ -179,7 +179,7 @@
 Theatre::Theatre(const History& history, const std::string& plant)
     : h_(history),
       plant_(plant),
-      terms_(history.deployment.terms),
+      terms_(history.deployment.controlSettings),
       chance_(history.seed, 78),
       world_(terms_, {history.linkKb, 0.15, 64}, history.seed) {
   directors_.resize(static_cast<std::size_t>(h_.directors));
@@ -214,13 +214,13 @@
   terms.zone = d.zone;
   terms.directors = h_.directors;
   terms.ordinal = d.place;
-  session::Limits bounds = h_.deployment.bounds;
+  session::Limits bounds = h_.deployment.sessionLimits;
   bounds.guardsEnabled = d.hooks.guardsEnabled;
   bounds.keysStored = d.hooks.recorded;
   const std::uint64_t seed = h_.seed * 1000 + static_cast<std::uint64_t>(d.place * 50 + d.run);
   std::unique_ptr<session::Decider> decider =
       d.hooks.decider ? d.hooks.decider(terms, seed) : std::make_unique<session::ControlDecider>(terms, seed);
-  d.list = std::make_unique<fleet::Membership>(terms.cells, h_.deployment.leastKept, bounds.grace);
+  d.list = std::make_unique<fleet::Membership>(terms.cells, h_.deployment.minRetainedShare, bounds.grace);
   d.front = std::make_unique<session::Front>(terms, bounds, std::move(decider));
   d.reception = std::make_unique<admission::RequestTranslator>(
       admission::RequestTranslator::Names{"d" + std::to_string(d.place), h_.deployment.roomTypes,
@@ -901,7 +901,7 @@
   audit::Statistics statistics;
   statistics.terms = terms_;
   statistics.clientTimeouts = h_.deployment.clientTimeouts;
-  statistics.grace = h_.deployment.bounds.grace;
+  statistics.grace = h_.deployment.sessionLimits.grace;
   out_.rows = audit::check(out_.record, statistics);
   return std::move(out_);
 }
--- a/src/lab/day.cpp
+++ b/src/lab/day.cpp
@@ -16,7 +16,7 @@
                            "reports-late",  "crowd",   "burst",       "director-kill", "director-roll",
                            "director-stop", "closers", "repeats",     "mute",          "garbage"};
 
-Micros span(const settings::Element& e, const char* name) { return settings::durationOf(e.text(name)); }
+Micros span(const settings::Element& e, const char* name) { return settings::parseDuration(e.text(name)); }
 double real(const settings::Element& e, const char* name) {
   return std::strtod(e.text(name).c_str(), nullptr);
 }
@@ -44,10 +44,10 @@
   day.setUpLeast = span(fleet, "set-up-least");
   day.setUpMost = span(fleet, "set-up-most");
   day.listLate = span(fleet, "list-late");
-  if (day.nodes != day.deployment.terms.cells)
-    settings::refuse(
+  if (day.nodes != day.deployment.controlSettings.cells)
+    settings::throwSettingsError(
         file, fleet,
-        "nodes: expected the cells of the settings, " + std::to_string(day.deployment.terms.cells));
+        "nodes: expected the cells of the settings, " + std::to_string(day.deployment.controlSettings.cells));
   const settings::Element& players = *root.child("players");
   day.asks = whole(players, "asks");
   day.titles = whole(players, "titles");
@@ -58,7 +58,8 @@
   for (const settings::Element& room : players.children) {
     const auto& known = day.deployment.roomTypes;
     const auto it = std::find(known.begin(), known.end(), room.text("name"));
-    if (it == known.end()) settings::refuse(file, room, "name: expected a room type of the settings");
+    if (it == known.end())
+      settings::throwSettingsError(file, room, "name: expected a room type of the settings");
     day.rooms.push_back(
         {static_cast<int>(it - known.begin()), real(room, "share"), span(room, "least"), span(room, "most")});
   }
@@ -94,7 +95,7 @@
     const double place = chance.unit() * all;
     a.title = static_cast<int>(std::lower_bound(titleWeight.begin(), titleWeight.end(), place) -
                                titleWeight.begin());
-    const int top = day.deployment.terms.roomTypes[static_cast<std::size_t>(a.roomType)].top;
+    const int top = day.deployment.controlSettings.roomTypes[static_cast<std::size_t>(a.roomType)].top;
     a.top = chance.comes(0.25) ? std::max(0, top - 2) : top;
     a.zone = static_cast<int>(chance.below(static_cast<std::size_t>(day.zones)));
     return a;
@@ -120,7 +121,8 @@
     for (const Trouble& t : day.troubles) {
       if (a.at < t.at || a.at >= t.at + t.span) continue;
       const bool unsafe =
-          day.deployment.terms.roomTypes[static_cast<std::size_t>(a.roomType)].effect != Effect::repeatable;
+          day.deployment.controlSettings.roomTypes[static_cast<std::size_t>(a.roomType)].effect !=
+          Effect::repeatable;
       const Manner manner = t.kind == Kind::closers && unsafe ? Manner::closer
                             : t.kind == Kind::repeats         ? Manner::repeater
                             : t.kind == Kind::mute            ? Manner::mute
--- a/src/lab/day.h
+++ b/src/lab/day.h
@@ -1,6 +1,6 @@
 // A day of the laboratory as read from its file, and the script drawn from it: who asks when for what, and
 // which nodes, racks and directors each trouble hits. The same day and seed draw the same script.
-// Times are whole microseconds from the start of the day. Errors: settings::BadSettings.
+// Times are whole microseconds from the start of the day. Errors: settings::SettingsError.
 #pragma once
 
 #include <cstdint>
--- a/src/lab/import.cpp
+++ b/src/lab/import.cpp
@@ -64,7 +64,7 @@
   std::ifstream in(benchDay);
   const Json day = Json::parse(in, nullptr, false);
   if (!day.is_object() || !day.contains("troubles") || !day.contains("fam"))
-    throw settings::BadSettings(benchDay + ": not a day of the bench for video fleets");
+    throw settings::SettingsError(benchDay + ": not a day of the bench for video fleets");
   try {
     const Json &fam = day.at("fam"), &kind = day.at("tiers").at(0).at("kinds").at(0);
     const auto servers = static_cast<double>(day.at("servers").size());
@@ -180,7 +180,7 @@
          << folder << "/day.xml\n";
     return said.str();
   } catch (const Json::exception& bad) {
-    throw settings::BadSettings(benchDay + ": " + bad.what());
+    throw settings::SettingsError(benchDay + ": " + bad.what());
   }
 }
 
--- a/src/lab/import.h
+++ b/src/lab/import.h
@@ -1,6 +1,6 @@
 // A day of the operators' bench as a day of the lab: the same kinds of trouble at the same times, on a fleet
 // that one machine carries. Reads the bench's day file from where it lies; nothing of it is kept but figures.
-// Errors: settings::BadSettings, one line.
+// Errors: settings::SettingsError, one line.
 #pragma once
 
 #include <string>
--- a/src/lab/players.cpp
+++ b/src/lab/players.cpp
@@ -46,7 +46,7 @@
 
 Crowd::Crowd(Stage& stage, const Processes& processes, std::vector<Arrival> arrivals, std::uint64_t seed)
     : stage_(stage), processes_(processes), chance_(seed, 3), arrivals_(std::move(arrivals)) {
-  const ControlSettings& t = stage.day->deployment.terms;
+  const ControlSettings& t = stage.day->deployment.controlSettings;
   for (const Arrival& a : arrivals_)
     if (a.manner != Manner::mute && a.manner != Manner::garbage)
       tallies_.offered += static_cast<double>(std::min(a.length, stage.day->length - a.at)) / 1e6 *
@@ -64,7 +64,7 @@
   const auto it = players_.find(std::atoi(viewer.c_str() + 1));
   if (it == players_.end()) return false;
   const Micros objective =
-      stage_.day->deployment.terms.roomTypes[static_cast<std::size_t>(roomType)].joinObjective;
+      stage_.day->deployment.controlSettings.roomTypes[static_cast<std::size_t>(roomType)].joinObjective;
   return stage_.now() - it->second->askedAt <= objective;
 }
 
@@ -153,7 +153,7 @@
   player.channel->sendText(websocket::textOf(message));
   player.state = Player::State::asking;
   player.wakeAt = now + seen.timeout + stage_.day->answerSlack + hangAround;
-  const bool unsafe = deployment.terms.roomTypes[room].effect != Effect::repeatable;
+  const bool unsafe = deployment.controlSettings.roomTypes[room].effect != Effect::repeatable;
   if (player.arrival.manner == Manner::mute) player.channel->stopReading();
   if (player.arrival.manner == Manner::closer && !again && player.tries == 1) {
     player.closeNext = true;
@@ -170,7 +170,8 @@
   audit::AskSeen& seen = stage_.record->asks[second ? player.secondSeen : player.seen];
   const auto record = [&](audit::AskSeen::Answer::Kind kind) { seen.answers.push_back({now, kind}); };
   const Micros objective =
-      stage_.day->deployment.terms.roomTypes[static_cast<std::size_t>(player.arrival.roomType)].joinObjective;
+      stage_.day->deployment.controlSettings.roomTypes[static_cast<std::size_t>(player.arrival.roomType)]
+          .joinObjective;
   switch (answer.kind) {
     case AnswerKind::hello:
       return;
@@ -191,8 +192,8 @@
       ++tallies_.terminated;
       if (second) return;
       const bool safe =
-          stage_.day->deployment.terms.roomTypes[static_cast<std::size_t>(player.arrival.roomType)].effect ==
-          Effect::repeatable;
+          stage_.day->deployment.controlSettings.roomTypes[static_cast<std::size_t>(player.arrival.roomType)]
+              .effect == Effect::repeatable;
       return over(player, 0, safe);
     }
     case AnswerKind::ended:
@@ -239,8 +240,8 @@
   player.record().closedAt = now;
   player.record().lostSocket = true;
   const bool unsafe =
-      stage_.day->deployment.terms.roomTypes[static_cast<std::size_t>(player.arrival.roomType)].effect !=
-      Effect::repeatable;
+      stage_.day->deployment.controlSettings.roomTypes[static_cast<std::size_t>(player.arrival.roomType)]
+          .effect != Effect::repeatable;
   // An answer to a paid ask that is lost with its director is asked for again there, with the same key.
   if (was == Player::State::asking && unsafe && now < player.endsAt) {
     ++tallies_.askedAgain;
--- a/src/lab/run.cpp
+++ b/src/lab/run.cpp
@@ -43,7 +43,7 @@
       : options_(options),
         day_(readDay(options.dayFile)),
         base_(event_base_new()),
-        world_(day_.deployment.terms, {day_.linkKb, day_.spread, day_.titles}, options.seed),
+        world_(day_.deployment.controlSettings, {day_.linkKb, day_.spread, day_.titles}, options.seed),
         chance_(options.seed, 4),
         folder_(std::move(folder)),
         processes_(day_, folder_, arguments(options)) {
@@ -160,7 +160,7 @@
   if (day_.holders > 0)
     for (int t = 0; t < day_.titles; ++t)
       text += " <title name=\"t" + std::to_string(t) + "\" first-cell=\"" +
-              std::to_string(t * 7 % day_.deployment.terms.cells) + "\" holders=\"" +
+              std::to_string(t * 7 % day_.deployment.controlSettings.cells) + "\" holders=\"" +
               std::to_string(day_.holders) + "\"/>\n";
   text += "</nodes>\n";
   const std::string next = folder_ + "/nodes.next";
@@ -244,7 +244,7 @@
           [this, much = t.much](StandIn& n) { world_.cutLink(n.node, std::max(1.0, much)); },
           [this](StandIn& n) { world_.cutLink(n.node, 1); });
     case Kind::uplinkCut: {
-      const auto racks = static_cast<std::size_t>(std::max(1, day_.deployment.terms.racks));
+      const auto racks = static_cast<std::size_t>(std::max(1, day_.deployment.controlSettings.racks));
       const auto n =
           std::max<std::size_t>(1, static_cast<std::size_t>(t.share * static_cast<double>(racks) + 0.5));
       for (const std::size_t rack : chance_.some(racks, n)) {
@@ -427,12 +427,12 @@
 RunResult Laboratory::verdict(bool clean) {
   RunResult result;
   audit::Statistics statistics;
-  statistics.terms = day_.deployment.terms;
+  statistics.terms = day_.deployment.controlSettings;
   statistics.clientTimeouts = day_.deployment.clientTimeouts;
-  statistics.grace = day_.deployment.bounds.grace;
+  statistics.grace = day_.deployment.sessionLimits.grace;
   statistics.answerSlack = day_.answerSlack;
   statistics.orderSlack = 250 * millisecond;
-  statistics.listLook = day_.deployment.lookEvery + 400 * millisecond;
+  statistics.listLook = day_.deployment.listPollInterval + 400 * millisecond;
   result.rows = audit::check(record_, statistics);
   result.tallies = crowd_->tallies();
   double earned = 0;
--- a/src/lab/run.h
+++ b/src/lab/run.h
@@ -1,4 +1,4 @@
-// A day of the laboratory from start to verdict. Errors: settings::BadSettings, std::runtime_error.
+// A day of the laboratory from start to verdict. Errors: settings::SettingsError, std::runtime_error.
 #pragma once
 
 #include <cstdint>
--- a/src/lab/stand_in.cpp
+++ b/src/lab/stand_in.cpp
@@ -11,7 +11,7 @@
 struct StandIn::Connection {
   StandIn* owner = nullptr;
   net::BufferEvent bufferEvent;
-  media::Reader reader;
+  media::MessageParser reader;
   std::string director;
   bool dead = false;
   bool toldDraining = false;
@@ -43,7 +43,8 @@
   port_ = net::portOf(listener_.get());
   startedAt_ = stage.now();
   stage.world->addNode(node, cell, startedAt_, coldStart);
-  stage.record->starts.push_back({node, startedAt_, stage.day->deployment.terms.slotsByKind[0], coldStart});
+  stage.record->starts.push_back(
+      {node, startedAt_, stage.day->deployment.controlSettings.slotsByKind[0], coldStart});
 }
 StandIn::~StandIn() = default;
 
@@ -104,7 +105,7 @@
   redirect.method = "REDIRECT";
   redirect.uri = "*";
   redirect.headers = {{"CSeq", "1"}, {"Terminate-Reason", "Server-Admin"}};
-  const std::string bytes = redirect.bytes();
+  const std::string bytes = redirect.serialize();
   for (auto& connection : connections_) {
     if (connection->dead || connection->toldDraining) continue;
     connection->toldDraining = true;
@@ -129,13 +130,13 @@
 
 void StandIn::setUp(Connection& connection, const media::Message& message) {
   auto session = std::make_unique<Session>();
-  media::Named named;
-  media::readUri(message.uri, named);
+  media::StreamUri named;
+  media::parseStreamUri(message.uri, named);
   const auto& rooms = stage_.day->deployment.roomTypes;
   const auto room = std::find(rooms.begin(), rooms.end(), named.roomType);
   session->connection = &connection;
   session->pipelined = message.header("Pipelined-Requests");
-  session->viewer = media::unescaped(message.header("Lupinsill-Viewer"));
+  session->viewer = media::percentDecode(message.header("Lupinsill-Viewer"));
   session->title = titleOf(named.title);
   session->roomType = room == rooms.end() ? 0 : static_cast<int>(room - rooms.begin());
   session->rung = named.rung;
@@ -148,7 +149,7 @@
   seen.director = connection.director;
   seen.subscription = message.header("Lupinsill-Subscription");
   seen.viewer = session->viewer;
-  seen.idempotencyKey = media::unescaped(message.header("Lupinsill-Ask"));
+  seen.idempotencyKey = media::percentDecode(message.header("Lupinsill-Ask"));
   seen.title = named.title;
   seen.roomType = session->roomType;
   seen.rung = session->rung;
@@ -165,7 +166,7 @@
 }
 
 bool StandIn::fallsOver(Micros now) {
-  const ControlSettings& t = stage_.day->deployment.terms;
+  const ControlSettings& t = stage_.day->deployment.controlSettings;
   if (!coldStart || now - startedAt_ > t.coldTime) return false;
   std::erase_if(coldSeen_, [&](Micros at) { return at <= now - t.fallTime; });
   coldSeen_.push_back(now);
@@ -209,7 +210,7 @@
 
 void StandIn::startSetUp(Session& session) {
   audit::SetUpSeen& seen = stage_.record->setUps[session.seen];
-  const ControlSettings& t = stage_.day->deployment.terms;
+  const ControlSettings& t = stage_.day->deployment.controlSettings;
   int status = 0;
   if (faults.draining) status = 503;
   if (status == 0 && stage_.world->streams(node) >= static_cast<std::size_t>(t.slotsByKind[0])) status = 453;
@@ -254,7 +255,7 @@
   const model::NodeLoad load = stage_.world->load(node, late + stage_.laterBy);
   LoadReport told;
   told.linkUse = load.link;
-  if (stage_.day->deployment.terms.uplinksReported) told.uplinkUse = load.uplink;
+  if (stage_.day->deployment.controlSettings.uplinksReported) told.uplinkUse = load.uplink;
   return told;
 }
 
@@ -265,8 +266,8 @@
   reply.status = status;
   reply.headers.emplace_back("CSeq", std::to_string(cseq));
   if (!session.empty()) reply.headers.emplace_back("Session", session + ";timeout=60");
-  if (load) reply.headers.emplace_back("Endpoint-Load-Metrics", media::orcaOf(report(300'000)));
-  const std::string bytes = reply.bytes();
+  if (load) reply.headers.emplace_back("Endpoint-Load-Metrics", media::formatOrca(report(300'000)));
+  const std::string bytes = reply.serialize();
   evbuffer_add(bufferevent_get_output(connection.bufferEvent.get()), bytes.data(), bytes.size());
 }
 
@@ -280,13 +281,13 @@
   message.headers = {{"CSeq", "1"},
                      {"Session", session.id},
                      {"Notify-Reason", reason},
-                     {"Endpoint-Load-Metrics", media::orcaOf(told, delivered)}};
-  const std::string bytes = message.bytes();
+                     {"Endpoint-Load-Metrics", media::formatOrca(told, delivered)}};
+  const std::string bytes = message.serialize();
   evbuffer_add(bufferevent_get_output(connection.bufferEvent.get()), bytes.data(), bytes.size());
 }
 
 void StandIn::notes(Micros now) {
-  const ControlSettings& t = stage_.day->deployment.terms;
+  const ControlSettings& t = stage_.day->deployment.controlSettings;
   const bool second = now - notedAt_ >= 1'000'000;
   const bool full = t.reportInterval > 0 && now - reportedAt_ >= t.reportInterval;
   if (!second && !full) return;
--- a/src/media/nodes.cpp
+++ b/src/media/nodes.cpp
@@ -13,7 +13,7 @@
   std::string host;
   int port = 0;
   net::BufferEvent bufferEvent;
-  Reader reader;
+  MessageParser reader;
   bool connected = false;
   bool dead = false;
   Micros since = 0;  // of connecting, then of the last use
@@ -52,7 +52,7 @@
 
 }  // namespace
 
-std::string unescaped(std::string_view text) {
+std::string percentDecode(std::string_view text) {
   std::string out;
   for (std::size_t i = 0; i < text.size(); ++i) {
     if (text[i] == '%' && i + 2 < text.size()) {
@@ -65,21 +65,21 @@
   return out;
 }
 
-std::string uriOf(const std::string& address, const std::string& title, const std::string& roomType,
-                  int rung) {
+std::string formatStreamUri(const std::string& address, const std::string& title, const std::string& roomType,
+                            int rung) {
   return "rtsp://" + address + "/" + escaped(title) + "?room=" + escaped(roomType) +
          "&rung=" + std::to_string(rung);
 }
 
-bool readUri(const std::string& uri, Named& named) {
+bool parseStreamUri(const std::string& uri, StreamUri& named) {
   const std::size_t start = uri.find('/', 7);
   const std::size_t query = uri.find("?room=");
   const std::size_t rung = uri.find("&rung=");
   if (!uri.starts_with("rtsp://") || start == std::string::npos || query == std::string::npos ||
       rung == std::string::npos || start > query || query > rung)
     return false;
-  named.title = unescaped(std::string_view(uri).substr(start + 1, query - start - 1));
-  named.roomType = unescaped(std::string_view(uri).substr(query + 6, rung - query - 6));
+  named.title = percentDecode(std::string_view(uri).substr(start + 1, query - start - 1));
+  named.roomType = percentDecode(std::string_view(uri).substr(query + 6, rung - query - 6));
   named.rung = std::atoi(uri.c_str() + rung + 6);
   return true;
 }
@@ -102,7 +102,7 @@
   join.roomType = roomType;
   Link& link = linkTo(endpoint);
   join.link = &link;
-  join.uri = uriOf(link.address(), order.title, roomType, order.rung);
+  join.uri = formatStreamUri(link.address(), order.title, roomType, order.rung);
   if (link.dead) {
     // The address was unusable, or the refusal came at once.
     finish(order.join);
@@ -112,7 +112,7 @@
   // written though it may never leave.
   if (link.connected &&
       evbuffer_get_length(bufferevent_get_output(link.bufferEvent.get())) > limits_.unsentBytes) {
-    ++statistics_.stuck;
+    ++statistics_.sendBuffersFull;
     finish(order.join);
     return handler_.joinEnded(order.join, Outcome::connectFailed, {}, false);
   }
@@ -160,7 +160,7 @@
   message.body = body;
   link.awaited[cseq] = {join.order.join, step};
   link.since = net::monotonicNow();
-  const std::string bytes = message.bytes();
+  const std::string bytes = message.serialize();
   evbuffer_add(bufferevent_get_output(link.bufferEvent.get()), bytes.data(), bytes.size());
 }
 
@@ -170,7 +170,7 @@
   JoinAt& join = it->second;
   join.order.rung = order.rung;
   if (!join.written)
-    join.uri = uriOf(join.link->address(), join.order.title, join.roomType, order.rung);
+    join.uri = formatStreamUri(join.link->address(), join.order.title, join.roomType, order.rung);
   else
     send(*join.link, "SET_PARAMETER", join, "rung: " + std::to_string(order.rung) + "\r\n");
 }
@@ -218,7 +218,7 @@
   link.bufferEvent = connect_(base_, endpoint.host, endpoint.port);
   ++statistics_.connects;
   if (!link.bufferEvent) {
-    ++statistics_.connectsFailed;
+    ++statistics_.connectFailures;
     link.dead = true;
     return link;
   }
@@ -249,7 +249,7 @@
 
 void Nodes::lost(Link& link, bool connecting) {
   link.dead = true;
-  ++(connecting ? statistics_.connectsFailed : statistics_.lost);
+  ++(connecting ? statistics_.connectFailures : statistics_.connectionsLost);
   bufferevent_disable(link.bufferEvent.get(), EV_READ | EV_WRITE);
   bufferevent_setcb(link.bufferEvent.get(), nullptr, nullptr, nullptr, nullptr);
   link.bufferEvent.reset();
@@ -303,9 +303,9 @@
       else
         link.owner->answered(link, *message);
     }
-  } catch (const BadRtsp&) {
+  } catch (const RtspParseError&) {
     // Nothing that follows can be told apart: the connection is as good as lost.
-    ++link.owner->statistics_.badBytes;
+    ++link.owner->statistics_.parseErrors;
     link.owner->lost(link, false);
   }
 }
@@ -318,12 +318,12 @@
   const auto it = joins_.find(what.join);
   if (it == joins_.end()) {
     // The join was given up on meanwhile; its TEARDOWN is on the way.
-    if (what.step != Link::Awaited::Step::other) ++statistics_.lateAnswers;
+    if (what.step != Link::Awaited::Step::other) ++statistics_.lateResponses;
     return;
   }
   JoinAt& join = it->second;
-  const Orca orca = readOrca(message.header("Endpoint-Load-Metrics"));
-  const Outcome outcome = outcomeOf(message.status);
+  const OrcaReport orca = parseOrca(message.header("Endpoint-Load-Metrics"));
+  const Outcome outcome = outcomeForStatus(message.status);
   if (what.step == Link::Awaited::Step::other) {
     // A session that the node does not know any more has ended there.
     if (message.status == 454) {
@@ -351,7 +351,7 @@
   tell(what.join, orca);
 }
 
-void Nodes::tell(session::JoinId join, const Orca& orca) {
+void Nodes::tell(session::JoinId join, const OrcaReport& orca) {
   if (orca.delivered) handler_.measured(join, MeasurementKind::delivered, *orca.delivered);
   const auto& link = orca.report.linkUse ? orca.report.linkUse : orca.report.linkShare;
   if (link) handler_.measured(join, MeasurementKind::link, *link);
@@ -362,7 +362,7 @@
   Message reply;
   reply.status = message.method == "PLAY_NOTIFY" || message.method == "REDIRECT" ? 200 : 501;
   reply.headers.emplace_back("CSeq", std::string(message.header("CSeq")));
-  const std::string bytes = reply.bytes();
+  const std::string bytes = reply.serialize();
   evbuffer_add(bufferevent_get_output(link.bufferEvent.get()), bytes.data(), bytes.size());
   // REDIRECT without a session speaks of all of them (RFC 7826 13.10): the node drains.
   if (message.method == "REDIRECT") return handler_.nodeDrains(link.node);
@@ -370,7 +370,7 @@
   const auto it = link.sessions.find(std::string(message.header("Session")));
   if (it == link.sessions.end()) return;
   const session::JoinId join = it->second;
-  const Orca orca = readOrca(message.header("Endpoint-Load-Metrics"));
+  const OrcaReport orca = parseOrca(message.header("Endpoint-Load-Metrics"));
   const std::string_view reason = message.header("Notify-Reason");
   if (reason == "end-of-stream") {
     finish(join);
--- a/src/media/nodes.h
+++ b/src/media/nodes.h
@@ -21,7 +21,8 @@
 namespace lupinsill::media {
 
 struct NodesStatistics {
-  std::uint64_t connects = 0, connectsFailed = 0, lost = 0, badBytes = 0, lateAnswers = 0, stuck = 0;
+  std::uint64_t connects = 0, connectFailures = 0, connectionsLost = 0, parseErrors = 0, lateResponses = 0,
+                sendBuffersFull = 0;
   std::size_t connections = 0;
 };
 
@@ -67,7 +68,7 @@
   void lost(Link& link, bool connecting);
   void answered(Link& link, const Message& message);
   void asked(Link& link, const Message& message);
-  void tell(session::JoinId join, const Orca& orca);
+  void tell(session::JoinId join, const OrcaReport& orca);
   void finish(session::JoinId join);
 
   event_base* base_;
@@ -82,14 +83,14 @@
 };
 
 // What one title and rung are named on the wire; the stand-in nodes read it back.
-std::string uriOf(const std::string& address, const std::string& title, const std::string& roomType,
-                  int rung);
-std::string unescaped(std::string_view text);  // of a URI's part, or of a header of ours
-struct Named {
+std::string formatStreamUri(const std::string& address, const std::string& title, const std::string& roomType,
+                            int rung);
+std::string percentDecode(std::string_view text);  // of a URI's part, or of a header of ours
+struct StreamUri {
   std::string title;
   std::string roomType;
   int rung = 0;
 };
-bool readUri(const std::string& uri, Named& named);
+bool parseStreamUri(const std::string& uri, StreamUri& named);
 
 }  // namespace lupinsill::media
--- a/src/media/rtsp.cpp
+++ b/src/media/rtsp.cpp
@@ -40,20 +40,20 @@
       if (line.starts_with("RTSP/2.0 ")) {
         message.status = static_cast<int>(numberOf(line.substr(9, 3), -1));
         if (message.status < 100 || message.status > 599 || (line.size() > 12 && line[12] != ' '))
-          throw BadRtsp("status line is not RTSP 2.0");
+          throw RtspParseError("status line is not RTSP 2.0");
         continue;
       }
       const std::size_t one = line.find(' ');
       const std::size_t two = one == std::string_view::npos ? one : line.find(' ', one + 1);
       if (two == std::string_view::npos || one == 0 || line.substr(two + 1) != "RTSP/2.0")
-        throw BadRtsp("first line is neither a request nor a response of RTSP 2.0");
+        throw RtspParseError("first line is neither a request nor a response of RTSP 2.0");
       message.method = line.substr(0, one);
       message.uri = line.substr(one + 1, two - one - 1);
       continue;
     }
     if (line.empty()) continue;
     const std::size_t colon = line.find(':');
-    if (colon == std::string_view::npos || colon == 0) throw BadRtsp("header line without a name");
+    if (colon == std::string_view::npos || colon == 0) throw RtspParseError("header line without a name");
     message.headers.emplace_back(line.substr(0, colon), trim(line.substr(colon + 1)));
   }
   return message;
@@ -69,7 +69,7 @@
 
 long long Message::cseq() const { return numberOf(header("CSeq"), -1); }
 
-std::string Message::bytes() const {
+std::string Message::serialize() const {
   std::string out;
   out.reserve(256 + body.size());
   if (isRequest())
@@ -78,14 +78,14 @@
     out.append("RTSP/2.0 ")
         .append(std::to_string(status))
         .append(" ")
-        .append(reasonOf(status))
+        .append(reasonPhrase(status))
         .append("\r\n");
   for (const auto& [key, value] : headers) out.append(key).append(": ").append(value).append("\r\n");
   if (!body.empty()) out.append("Content-Length: ").append(std::to_string(body.size())).append("\r\n");
   return out.append("\r\n").append(body);
 }
 
-const char* reasonOf(int status) {
+const char* reasonPhrase(int status) {
   switch (status) {
     case 200:
       return "OK";
@@ -110,7 +110,7 @@
   }
 }
 
-std::optional<Message> Reader::next() {
+std::optional<Message> MessageParser::next() {
   // Guards against a buffer that is moved for each of many small messages read in one heap.
   if (start_ > 65536 || start_ == buffer_.size()) buffer_.erase(0, start_), start_ = 0;
   std::string_view rest = std::string_view(buffer_).substr(start_);
@@ -118,15 +118,15 @@
   while (rest.starts_with("\r\n")) rest.remove_prefix(2), start_ += 2;
   const std::size_t end = rest.find("\r\n\r\n");
   if (end == std::string_view::npos) {
-    if (rest.size() > headMost_) throw BadRtsp("head over " + std::to_string(headMost_) + " bytes");
+    if (rest.size() > headMost_) throw RtspParseError("head over " + std::to_string(headMost_) + " bytes");
     return std::nullopt;
   }
-  if (end > headMost_) throw BadRtsp("head over " + std::to_string(headMost_) + " bytes");
+  if (end > headMost_) throw RtspParseError("head over " + std::to_string(headMost_) + " bytes");
   Message message = parseHead(rest.substr(0, end));
   const std::string_view told = message.header("Content-Length");
   const long long length = told.empty() ? 0 : numberOf(told, -1);
   if (length < 0 || static_cast<std::size_t>(length) > bodyMost_)
-    throw BadRtsp("Content-Length out of range");
+    throw RtspParseError("Content-Length out of range");
   const std::size_t whole = end + 4 + static_cast<std::size_t>(length);
   if (rest.size() < whole) return std::nullopt;
   message.body = rest.substr(end + 4, static_cast<std::size_t>(length));
@@ -134,7 +134,7 @@
   return message;
 }
 
-std::string orcaOf(const LoadReport& report, std::optional<double> delivered) {
+std::string formatOrca(const LoadReport& report, std::optional<double> delivered) {
   std::string out = "TEXT ";
   const auto add = [&](const char* name, const std::optional<double>& value) {
     if (!value) return;
@@ -149,8 +149,8 @@
   return out;
 }
 
-Orca readOrca(std::string_view value) {
-  Orca orca;
+OrcaReport parseOrca(std::string_view value) {
+  OrcaReport orca;
   value = trim(value);
   if (!value.starts_with("TEXT ")) return orca;
   value.remove_prefix(5);
@@ -174,7 +174,7 @@
   return orca;
 }
 
-Outcome outcomeOf(int status) {
+Outcome outcomeForStatus(int status) {
   if (status >= 200 && status < 300) return Outcome::ok;
   // RFC 7826 17.4.24 and 17.5.4: refused for want of bandwidth, or not served now. Neither runs the set-up.
   if (status == 453 || status == 503) return Outcome::full;
--- a/src/media/rtsp.h
+++ b/src/media/rtsp.h
@@ -1,7 +1,7 @@
 // RTSP 2.0 messages (RFC 7826, section 5 and appendix B.1) as bytes and back: no socket, no meaning. Both the
 // director's media edge and the lab's stand-in nodes use it.
-// Errors: Reader::next throws BadRtsp on bytes that can never become a message; the connection is of no
-// further use then. A reader holds no more than `headMost + bodyMost` bytes of an unfinished message.
+// Errors: Reader::next throws RtspParseError on bytes that can never become a message; the connection is of
+// no further use then. A reader holds no more than `headMost + bodyMost` bytes of an unfinished message.
 #pragma once
 
 #include <cstddef>
@@ -16,7 +16,7 @@
 
 namespace lupinsill::media {
 
-struct BadRtsp : std::runtime_error {
+struct RtspParseError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
@@ -33,14 +33,14 @@
   std::string_view header(std::string_view name) const;
   // -1 where it is missing or no number.
   long long cseq() const;
-  std::string bytes() const;
+  std::string serialize() const;
 };
 
-const char* reasonOf(int status);
+const char* reasonPhrase(int status);
 
-class Reader {
+class MessageParser {
  public:
-  explicit Reader(std::size_t headMost = 8192, std::size_t bodyMost = 65536)
+  explicit MessageParser(std::size_t headMost = 8192, std::size_t bodyMost = 65536)
       : headMost_(headMost), bodyMost_(bodyMost) {}
   void feed(std::string_view bytes) { buffer_.append(bytes); }
   std::optional<Message> next();
@@ -55,15 +55,15 @@
 // The load report a node puts in its answers: ORCA's text form (`TEXT application_utilization=0.6,
 // named_metrics.uplink=0.7`). Link use is application_utilization, which may pass 1. Names not known are
 // skipped, as the format asks.
-std::string orcaOf(const LoadReport& report, std::optional<double> delivered = std::nullopt);
-struct Orca {
+std::string formatOrca(const LoadReport& report, std::optional<double> delivered = std::nullopt);
+struct OrcaReport {
   LoadReport report;
   std::optional<double> delivered;
 };
-Orca readOrca(std::string_view value);
+OrcaReport parseOrca(std::string_view value);
 
 // What an RTSP status says of a set-up that it answers (docs/design/director.md, "What proves that a join
 // never ran"). This is the one place that says so.
-Outcome outcomeOf(int status);
+Outcome outcomeForStatus(int status);
 
 }  // namespace lupinsill::media
--- a/src/settings/deployment.h
+++ b/src/settings/deployment.h
@@ -1,5 +1,5 @@
 // What one director is told at start, decoded once from its settings file, and the list of media nodes
-// decoded from its own. Whole microseconds, kB a second; names become indices here. Errors: BadSettings,
+// decoded from its own. Whole microseconds, kB a second; names become indices here. Errors: SettingsError,
 // whose text is one line naming file, line, element and what was expected. Source: deploy/lupinsill.xsd and
 // deploy/nodes.xsd, which are built into the program.
 #pragma once
@@ -17,7 +17,7 @@
 
 namespace lupinsill::settings {
 
-struct BadSettings : std::runtime_error {
+struct SettingsError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
@@ -28,7 +28,7 @@
 
 struct SocketLimits {
   int connections = 0;
-  int asksPerSocket = 0;
+  int requestsPerSocket = 0;
   std::size_t messageBytes = 0;
   std::size_t unsentBytes = 0;
   Micros handshake = 0;
@@ -50,9 +50,9 @@
   net::TlsFiles playersTls;  // of both players' listeners; empty: plain
   net::TlsFiles nodesTls;    // shown to media nodes; the authority is theirs; empty: plain
   std::string listFile;
-  std::string keptAs;
-  Micros lookEvery = 0;
-  double leastKept = 0;
+  std::string listCacheFile;
+  Micros listPollInterval = 0;
+  double minRetainedShare = 0;
   std::string ticketKeyFile;
   Micros ticketValid = 0;
   std::string ledgerFile;  // empty: none
@@ -61,8 +61,8 @@
   std::vector<Micros> clientTimeouts;
   std::vector<std::string> kinds;
   std::vector<std::string> tenants;
-  ControlSettings terms;
-  session::Limits bounds;
+  ControlSettings controlSettings;
+  session::Limits sessionLimits;
   SocketLimits sockets;
   NodeLimits nodes;
   std::string logLevel;
@@ -71,13 +71,13 @@
 
 Deployment readDeployment(const std::string& file);
 // The same file with all defaults written out.
-std::string shown(const std::string& file);
+std::string formatWithDefaults(const std::string& file);
 // What of `next` differs from `now` in a way that a running director cannot take over; empty: nothing.
-std::vector<std::string> unsafeChanges(const Deployment& now, const Deployment& next);
+std::vector<std::string> changesNeedingRestart(const Deployment& now, const Deployment& next);
 
 // `wallToClock`: added to UTC microseconds to get the caller's clock.
 fleet::NodeList readNodes(const std::string& file, const Deployment& deployment, Micros wallToClock);
 
-Micros durationOf(const std::string& text);  // as the schema admits it: digits and a unit
+Micros parseDuration(const std::string& text);  // as the schema admits it: digits and a unit
 
 }  // namespace lupinsill::settings
--- a/src/settings/xml.cpp
+++ b/src/settings/xml.cpp
@@ -37,7 +37,7 @@
 
 Document load(const std::string& file, std::string_view schemaText) {
   std::ifstream in(file, std::ios::binary);
-  if (!in) throw BadSettings(file + ": cannot be read");
+  if (!in) throw SettingsError(file + ": cannot be read");
   std::ostringstream whole;
   whole << in.rdbuf();
   const std::string bytes = whole.str();
@@ -50,19 +50,19 @@
                xmlFreeDoc);
   if (!doc) {
     xmlSetStructuredErrorFunc(nullptr, nullptr);
-    throw BadSettings(complaint.first.empty() ? file + ": not XML" : complaint.first);
+    throw SettingsError(complaint.first.empty() ? file + ": not XML" : complaint.first);
   }
   const SchemaParser schemaParser(
       xmlSchemaNewMemParserCtxt(schemaText.data(), static_cast<int>(schemaText.size())),
       xmlSchemaFreeParserCtxt);
   const Schema schema(xmlSchemaParse(schemaParser.get()), xmlSchemaFree);
-  if (!schema) throw BadSettings("built-in schema: " + complaint.first);
+  if (!schema) throw SettingsError("built-in schema: " + complaint.first);
   const Validator validator(xmlSchemaNewValidCtxt(schema.get()), xmlSchemaFreeValidCtxt);
   xmlSchemaSetValidOptions(validator.get(), XML_SCHEMA_VAL_VC_I_CREATE);
   xmlSchemaSetValidStructuredErrors(validator.get(), hear, &complaint);
   const int verdict = xmlSchemaValidateDoc(validator.get(), doc.get());
   xmlSetStructuredErrorFunc(nullptr, nullptr);
-  if (verdict != 0) throw BadSettings(complaint.first.empty() ? file + ": not valid" : complaint.first);
+  if (verdict != 0) throw SettingsError(complaint.first.empty() ? file + ": not valid" : complaint.first);
   return doc;
 }
 
@@ -116,8 +116,8 @@
   return out;
 }
 
-void refuse(const std::string& file, const Element& at, const std::string& why) {
-  throw BadSettings(file + ":" + std::to_string(at.line) + ": Element '" + at.name + "': " + why);
+void throwSettingsError(const std::string& file, const Element& at, const std::string& why) {
+  throw SettingsError(file + ":" + std::to_string(at.line) + ": Element '" + at.name + "': " + why);
 }
 
 }  // namespace lupinsill::settings
--- a/src/settings/xml.h
+++ b/src/settings/xml.h
@@ -1,4 +1,4 @@
-// XML held against a schema, as a tree of values that frees itself. Errors: BadSettings (deployment.h).
+// XML held against a schema, as a tree of values that frees itself. Errors: SettingsError (deployment.h).
 #pragma once
 
 #include <functional>
@@ -25,6 +25,6 @@
 Element readXml(const std::string& file, std::string_view schema);
 std::string writeXml(const std::string& file, std::string_view schema);
 
-[[noreturn]] void refuse(const std::string& file, const Element& at, const std::string& why);
+[[noreturn]] void throwSettingsError(const std::string& file, const Element& at, const std::string& why);
 
 }  // namespace lupinsill::settings
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -64,8 +64,8 @@
 
 namespace {
 
-Found read(MDB_env* env, unsigned table, Micros clockToWall, const std::string& file) {
-  Found found;
+LoadResult read(MDB_env* env, unsigned table, Micros clockToWall, const std::string& file) {
+  LoadResult found;
   MDB_txn* txn = nullptr;
   if (const int rc = mdb_txn_begin(env, nullptr, MDB_RDONLY, &txn); rc != 0)
     throw std::runtime_error(file + ": " + mdb_strerror(rc));
@@ -77,11 +77,11 @@
     if (decode(key, data, clockToWall, record)) {
       found.records.push_back(record);
     } else {
-      found.whole = false;
-      found.complaint = "a record fails its checksum";
+      found.intact = false;
+      found.error = "a record fails its checksum";
     }
   }
-  if (rc != MDB_NOTFOUND) found.whole = false, found.complaint = mdb_strerror(rc);
+  if (rc != MDB_NOTFOUND) found.intact = false, found.error = mdb_strerror(rc);
   if (cursor != nullptr) mdb_cursor_close(cursor);
   mdb_txn_abort(txn);
   return found;
@@ -89,7 +89,7 @@
 
 }  // namespace
 
-Found list(const std::string& file) {
+LoadResult readRecords(const std::string& file) {
   struct Env {
     MDB_env* env = nullptr;
     ~Env() {
@@ -122,7 +122,7 @@
     if (!existed) throw;
     found_ = {{}, false, false, bad.what()};
   }
-  if (!found_.whole) {
+  if (!found_.intact) {
     // Guards against a damaged file that is answered from as if it were empty, or written on. What could be
     // read of it still counts; the file itself is kept for whoever looks into it.
     if (env_ != nullptr) mdb_env_close(env_);
@@ -135,7 +135,7 @@
     for (const ledger::Record& record : found_.records) kept.push_back({0, record});
     if (!commit(kept)) throw std::runtime_error(file + ": cannot be written");
   }
-  found_.fresh = !existed;
+  found_.created = !existed;
   thread_ = std::thread([this] { run(); });
 }
 
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -19,16 +19,16 @@
 
 namespace lupinsill::store {
 
-struct Found {
+struct LoadResult {
   std::vector<ledger::Record> records;
-  bool whole = true;
-  bool fresh = false;     // no file was there: a first start, or a ledger that was lost
-  std::string complaint;  // where it is not whole
+  bool intact = true;
+  bool created = false;  // no file was there: a first start, or a ledger that was lost
+  std::string error;     // where it is not whole
 };
 
 // What stands in a ledger's file, for operators, also while a director writes it. Times are UTC microseconds.
 // Throws std::runtime_error where the file cannot be read.
-Found list(const std::string& file);
+LoadResult readRecords(const std::string& file);
 
 class Store {
  public:
@@ -39,7 +39,7 @@
   Store(const Store&) = delete;
   Store& operator=(const Store&) = delete;
 
-  const Found& found() const { return found_; }
+  const LoadResult& loadResult() const { return found_; }
   void write(std::vector<ledger::Write> writes);
   ledger::Seq durable() const;  // everything up to this number is on disk
   bool failed() const;
@@ -55,7 +55,7 @@
   std::string file_;
   MDB_env* env_ = nullptr;
   unsigned table_ = 0;
-  Found found_;
+  LoadResult found_;
   mutable std::mutex mutex_;
   std::condition_variable ready_;
   std::vector<ledger::Write> queue_;
--- a/src/ticket/ticket.cpp
+++ b/src/ticket/ticket.cpp
@@ -34,7 +34,7 @@
 
 }  // namespace
 
-Key freshKey() {
+Key generateKey() {
   Key key{};
   randombytes_buf(key.data(), key.size());
   return key;
@@ -71,7 +71,7 @@
 
 const char* nameOf(Verdict verdict) {
   switch (verdict) {
-    case Verdict::good:
+    case Verdict::valid:
       return "good";
     case Verdict::malformed:
       return "malformed";
@@ -79,14 +79,14 @@
       return "forged";
     case Verdict::expired:
       return "expired";
-    case Verdict::foreign:
+    case Verdict::wrongNode:
       return "foreign";
   }
   return "?";
 }
 
-Verdict check(const KeyRing& keys, std::string_view ticket, std::int64_t nowSeconds, Claims& claims,
-              std::string_view atNode) {
+Verdict verify(const KeyRing& keys, std::string_view ticket, std::int64_t nowSeconds, Claims& claims,
+               std::string_view atNode) {
   const std::size_t dot = ticket.find('.');
   if (dot == std::string_view::npos || ticket.size() > 1024) return Verdict::malformed;
   std::vector<unsigned char> payload, mac;
@@ -106,8 +106,8 @@
   claims = {text.substr(0, a), text.substr(a + 1, b - a - 1), std::atoi(text.c_str() + b + 1),
             std::atoll(text.c_str() + c + 1)};
   // Ours, but meant for another: said before its age, since a fresh one would not help either.
-  if (!atNode.empty() && claims.node != atNode) return Verdict::foreign;
-  return claims.expires < nowSeconds ? Verdict::expired : Verdict::good;
+  if (!atNode.empty() && claims.node != atNode) return Verdict::wrongNode;
+  return claims.expires < nowSeconds ? Verdict::expired : Verdict::valid;
 }
 
 }  // namespace lupinsill::ticket
--- a/src/ticket/ticket.h
+++ b/src/ticket/ticket.h
@@ -21,7 +21,7 @@
   std::int64_t expires = 0;  // UTC seconds
 };
 
-Key freshKey();
+Key generateKey();
 // Keys in force, the newest first: it signs, all of them check. While a key is rotated both stand here, so
 // that tickets of the old one live out their time.
 using KeyRing = std::vector<Key>;
@@ -29,10 +29,10 @@
 KeyRing readKeys(const std::string& file);
 std::string sign(const Key& key, const Claims& claims);
 
-enum class Verdict { good, malformed, forged, expired, foreign };
+enum class Verdict { valid, malformed, forged, expired, wrongNode };
 const char* nameOf(Verdict verdict);
 // `atNode`: the host:port it was shown at; a good ticket for another one is foreign there. Empty: any.
-Verdict check(const KeyRing& keys, std::string_view ticket, std::int64_t nowSeconds, Claims& claims,
-              std::string_view atNode = {});
+Verdict verify(const KeyRing& keys, std::string_view ticket, std::int64_t nowSeconds, Claims& claims,
+               std::string_view atNode = {});
 
 }  // namespace lupinsill::ticket
--- a/tests/director_test.cpp
+++ b/tests/director_test.cpp
@@ -190,7 +190,7 @@
 // A node that accepts one connection and is driven by the test.
 struct Node {
   int listener, fd = -1, port;
-  media::Reader reader;
+  media::MessageParser reader;
   Node() {
     listener = socket(AF_INET, SOCK_STREAM, 0);
     sockaddr_in at{};
@@ -234,7 +234,7 @@
     send(reply);
   }
   void send(const media::Message& message) const {
-    const std::string bytes = message.bytes();
+    const std::string bytes = message.serialize();
     ::send(fd, bytes.data(), bytes.size(), MSG_NOSIGNAL);
   }
 };
@@ -458,7 +458,7 @@
   CHECK(d.end(SIGKILL) == -SIGKILL);
   close(node.fd);
   node.fd = -1;
-  node.reader = media::Reader();
+  node.reader = media::MessageParser();
   d.start();
   loop.join();
   REQUIRE(player.results == 1);
@@ -709,7 +709,7 @@
   CHECK(d.end(SIGKILL) == -SIGKILL);
   close(node.fd);
   node.fd = -1;
-  node.reader = media::Reader();
+  node.reader = media::MessageParser();
   d.start();
   Socket again(d.players);
   again.open();
--- a/tests/history_test.cpp
+++ b/tests/history_test.cpp
@@ -82,8 +82,8 @@
   h.directors = 1;
   h.nodes = 1;
   h.linkKb = 100'000;
-  h.deployment.terms.totalLinkKb = h.deployment.terms.weightKb = 100'000;
-  h.deployment.terms.rackUplinkKb = 1'000'000;
+  h.deployment.controlSettings.totalLinkKb = h.deployment.controlSettings.weightKb = 100'000;
+  h.deployment.controlSettings.rackUplinkKb = 1'000'000;
   const auto add = [&](Micros at, history::What what, int who, double much, int room) {
     h.happenings.push_back({at * 1000, what, who, much, room, who % 20, 1, 3'000'000});
   };
--- a/tests/messages_test.cpp
+++ b/tests/messages_test.cpp
@@ -71,25 +71,25 @@
 
 TEST_CASE("Tickets: good, forged, of another key, expired, and no tickets at all") {
   REQUIRE(sodium_init() >= 0);
-  const ticket::Key key = ticket::freshKey(), other = ticket::freshKey();
+  const ticket::Key key = ticket::generateKey(), other = ticket::generateKey();
   const std::string one = ticket::sign(key, {"d1-17", "127.0.0.1:9000", 3, 1000});
   ticket::Claims claims;
-  CHECK(ticket::check({key}, one, 1000, claims) == ticket::Verdict::good);
+  CHECK(ticket::verify({key}, one, 1000, claims) == ticket::Verdict::valid);
   CHECK(claims.subscription == "d1-17");
   CHECK(claims.rung == 3);
-  CHECK(ticket::check({key}, one, 1001, claims) == ticket::Verdict::expired);
-  CHECK(ticket::check({other}, one, 1000, claims) == ticket::Verdict::forged);
-  CHECK(ticket::check({key}, one, 1000, claims, "elsewhere:1") == ticket::Verdict::foreign);
-  CHECK(ticket::check({key}, one, 9999, claims, "elsewhere:1") == ticket::Verdict::foreign);
+  CHECK(ticket::verify({key}, one, 1001, claims) == ticket::Verdict::expired);
+  CHECK(ticket::verify({other}, one, 1000, claims) == ticket::Verdict::forged);
+  CHECK(ticket::verify({key}, one, 1000, claims, "elsewhere:1") == ticket::Verdict::wrongNode);
+  CHECK(ticket::verify({key}, one, 9999, claims, "elsewhere:1") == ticket::Verdict::wrongNode);
   // While a key is rotated the old one's tickets still hold, and the new one's do too.
-  CHECK(ticket::check({other, key}, one, 1000, claims) == ticket::Verdict::good);
-  CHECK(ticket::check({other, key}, ticket::sign(other, {"d1-18", "", 0, 1000}), 1000, claims) ==
-        ticket::Verdict::good);
+  CHECK(ticket::verify({other, key}, one, 1000, claims) == ticket::Verdict::valid);
+  CHECK(ticket::verify({other, key}, ticket::sign(other, {"d1-18", "", 0, 1000}), 1000, claims) ==
+        ticket::Verdict::valid);
   for (std::size_t i = 0; i < one.size(); ++i) {
     std::string bent = one;
     bent[i] = bent[i] == 'A' ? 'B' : 'A';
-    CHECK(ticket::check({key}, bent, 1000, claims) != ticket::Verdict::good);
+    CHECK(ticket::verify({key}, bent, 1000, claims) != ticket::Verdict::valid);
   }
-  CHECK(ticket::check({key}, "", 1000, claims) == ticket::Verdict::malformed);
-  CHECK(ticket::check({key}, ".", 1000, claims) == ticket::Verdict::malformed);
+  CHECK(ticket::verify({key}, "", 1000, claims) == ticket::Verdict::malformed);
+  CHECK(ticket::verify({key}, ".", 1000, claims) == ticket::Verdict::malformed);
 }
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -38,7 +38,7 @@
   std::ofstream(file) << text;
   try {
     readDeployment(file);
-  } catch (const BadSettings& bad) {
+  } catch (const SettingsError& bad) {
     return std::string(bad.what()).substr(file.size());
   }
   return "";
@@ -50,12 +50,12 @@
 
 TEST_CASE("The example is read, and shown with its defaults") {
   const Deployment d = readDeployment(EXAMPLES "/small.xml");
-  CHECK(d.terms.roomTypes.size() == 2);
-  CHECK(d.terms.roomTypes[1].effect == Effect::once);
-  CHECK(d.bounds.grace == 2'000'000);
-  CHECK(d.bounds.answerMargin == 150'000);
+  CHECK(d.controlSettings.roomTypes.size() == 2);
+  CHECK(d.controlSettings.roomTypes[1].effect == Effect::once);
+  CHECK(d.sessionLimits.grace == 2'000'000);
+  CHECK(d.sessionLimits.answerMargin == 150'000);
   CHECK(d.listFile == std::string(EXAMPLES) + "/small-nodes.xml");
-  CHECK(shown(EXAMPLES "/small.xml").find("orphan-hold=\"5s\"") != std::string::npos);
+  CHECK(formatWithDefaults(EXAMPLES "/small.xml").find("orphan-hold=\"5s\"") != std::string::npos);
   CHECK(readNodes(d.listFile, d, 0).endpoints.size() == 2);
 }
 
@@ -77,11 +77,11 @@
   Deployment next = now;
   next.sockets.connections = 5;
   next.logLevel = "debug";
-  next.lookEvery = 5;
-  CHECK(unsafeChanges(now, next).empty());
-  next.terms.roomTypes[1].seats = 9;
-  next.terms.retryBudget = RetryBudget{1, 0, 1};
-  CHECK(unsafeChanges(now, next) == std::vector<std::string>{"room-types", "rules"});
+  next.listPollInterval = 5;
+  CHECK(changesNeedingRestart(now, next).empty());
+  next.controlSettings.roomTypes[1].seats = 9;
+  next.controlSettings.retryBudget = RetryBudget{1, 0, 1};
+  CHECK(changesNeedingRestart(now, next) == std::vector<std::string>{"room-types", "rules"});
 }
 
 TEST_CASE("Lists: start times, titles, and what does not fit the settings") {
@@ -99,12 +99,12 @@
   CHECK(word.endpoints[0].state == NodeState::draining);
   CHECK(word.endpoints[0].readyAt == 1'500'000);
   CHECK(word.titles.at("t").holders == 2);
-  CHECK_THROWS_AS(read(node + "/>" + node + "/>"), BadSettings);
+  CHECK_THROWS_AS(read(node + "/>" + node + "/>"), SettingsError);
   CHECK_THROWS_AS(read(R"(<node id="1" address="127.0.0.1:1" kind="other" zone="z" cell="0"/>)"),
-                  BadSettings);
+                  SettingsError);
   CHECK_THROWS_AS(read(R"(<node id="1" address="127.0.0.1:1" kind="two-core" zone="z" cell="7"/>)"),
-                  BadSettings);
-  CHECK_THROWS_AS(read("<node id=\"1\""), BadSettings);
+                  SettingsError);
+  CHECK_THROWS_AS(read("<node id=\"1\""), SettingsError);
 }
 
 TEST_CASE("The same day and seed draw the same script; another seed another") {
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -33,17 +33,17 @@
   const std::string file = folder.path + "/l.mdb";
   {
     store::Store s(file, 4, 0, [] {});
-    CHECK(s.found().whole);
+    CHECK(s.loadResult().intact);
     put(s, 1, "a", ledger::RecordState::intent);
     put(s, 2, "b", ledger::RecordState::intent);
     put(s, 3, "b", ledger::RecordState::refused);
   }
   // LMDB wants a file open once a process: a look at it comes from the outside, or before.
-  CHECK(store::list(file).records.size() == 1);
+  CHECK(store::readRecords(file).records.size() == 1);
   store::Store s(file, 4, 0, [] {});
-  CHECK(s.found().whole);
-  REQUIRE(s.found().records.size() == 1);
-  CHECK(s.found().records[0].key == ledger::digestOf("a"));
+  CHECK(s.loadResult().intact);
+  REQUIRE(s.loadResult().records.size() == 1);
+  CHECK(s.loadResult().records[0].key == ledger::digestOf("a"));
 }
 
 TEST_CASE("A damaged file is set aside, told as not whole, and never taken for an empty one") {
@@ -70,7 +70,7 @@
     }
   }
   store::Store s(file, 4, 0, [] {});
-  CHECK_FALSE(s.found().whole);
+  CHECK_FALSE(s.loadResult().intact);
   bool aside = false;
   for (const auto& entry : std::filesystem::directory_iterator(folder.path))
     aside = aside || entry.path().string().find(".damaged-") != std::string::npos;
