--- a/src/media/nodes.cpp
+++ b/src/media/nodes.cpp
@@ -7,39 +7,48 @@
 
 namespace lupinsill::media {
 
-struct Nodes::Link {
+struct Nodes::Connection {
   Nodes* owner = nullptr;
   NodeId node = 0;
   std::string host;
   int port = 0;
   net::BufferEvent bufferEvent;
-  MessageParser reader;
+  MessageParser parser;
   bool connected = false;
-  bool dead = false;
-  Micros since = 0;  // of connecting, then of the last use
+  bool closed = false;
+  Micros since = 0;  // start of the connection attempt, then time of the last bytes sent or received
   long long cseq = 0;
-  struct Awaited {
-    session::JoinId join;
+  struct PendingRequest {
+    session::JoinId joinId;
     enum class Step { setUp, play, other } step;
   };
-  std::map<long long, Awaited> awaited;
-  std::map<std::string, session::JoinId> sessions;
-  std::vector<session::JoinId> waiting;  // for the connection
+  std::map<long long, PendingRequest> inFlight;  // by CSeq
+  std::map<std::string, session::JoinId> joinsBySession;
+  std::vector<session::JoinId> waitingJoins;  // to be written once connected
 
   std::string address() const { return host + ":" + std::to_string(port); }
-  static void onRead(bufferevent*, void* me);
-  static void onEvent(bufferevent*, short what, void* me);
+  static void onRead(bufferevent*, void* context);
+  static void onEvent(bufferevent*, short events, void* context);
 };
 
 namespace {
 
-std::string escaped(const std::string& text) {
+constexpr std::size_t schemeLength = std::string_view("rtsp://").size();
+constexpr std::size_t roomParameterLength = std::string_view("?room=").size();
+constexpr std::size_t rungParameterLength = std::string_view("&rung=").size();
+
+constexpr int statusOk = 200;
+constexpr int statusSessionNotFound = 454;
+constexpr int statusNotImplemented = 501;
+
+// Encodes everything but the unreserved characters of RFC 3986.
+std::string percentEncode(const std::string& text) {
   std::string out;
   for (const char c : text) {
     const auto u = static_cast<unsigned char>(c);
-    const bool plain = (u >= '0' && u <= '9') || (u >= 'a' && u <= 'z') || (u >= 'A' && u <= 'Z') ||
-                       c == '-' || c == '.' || c == '_' || c == '~';
-    if (plain) {
+    const bool unreserved = (u >= '0' && u <= '9') || (u >= 'a' && u <= 'z') || (u >= 'A' && u <= 'Z') ||
+                            c == '-' || c == '.' || c == '_' || c == '~';
+    if (unreserved) {
       out += c;
     } else {
       std::array<char, 4> hex{};
@@ -67,20 +76,21 @@
 
 std::string formatStreamUri(const std::string& address, const std::string& title, const std::string& roomType,
                             int rung) {
-  return "rtsp://" + address + "/" + escaped(title) + "?room=" + escaped(roomType) +
+  return "rtsp://" + address + "/" + percentEncode(title) + "?room=" + percentEncode(roomType) +
          "&rung=" + std::to_string(rung);
 }
 
-bool parseStreamUri(const std::string& uri, StreamUri& named) {
-  const std::size_t start = uri.find('/', 7);
+bool parseStreamUri(const std::string& uri, StreamUri& parsed) {
+  const std::size_t path = uri.find('/', schemeLength);
   const std::size_t query = uri.find("?room=");
   const std::size_t rung = uri.find("&rung=");
-  if (!uri.starts_with("rtsp://") || start == std::string::npos || query == std::string::npos ||
-      rung == std::string::npos || start > query || query > rung)
+  if (!uri.starts_with("rtsp://") || path == std::string::npos || query == std::string::npos ||
+      rung == std::string::npos || path > query || query > rung)
     return false;
-  named.title = percentDecode(std::string_view(uri).substr(start + 1, query - start - 1));
-  named.roomType = percentDecode(std::string_view(uri).substr(query + 6, rung - query - 6));
-  named.rung = std::atoi(uri.c_str() + rung + 6);
+  parsed.title = percentDecode(std::string_view(uri).substr(path + 1, query - path - 1));
+  parsed.roomType = percentDecode(
+      std::string_view(uri).substr(query + roomParameterLength, rung - query - roomParameterLength));
+  parsed.rung = std::atoi(uri.c_str() + rung + rungParameterLength);
   return true;
 }
 
@@ -93,290 +103,296 @@
       connect_(std::move(connect)) {}
 Nodes::~Nodes() = default;
 
-// ---- orders ----
+// ---- Commands ----
 
-void Nodes::setUp(const session::SetUp& order, const fleet::NodeEndpoint& endpoint,
+void Nodes::setUp(const session::SetUp& command, const fleet::NodeEndpoint& endpoint,
                   const std::string& roomType) {
-  JoinAt& join = joins_[order.join];
-  join.order = order;
+  JoinState& join = joins_[command.join];
+  join.command = command;
   join.roomType = roomType;
-  Link& link = linkTo(endpoint);
-  join.link = &link;
-  join.uri = formatStreamUri(link.address(), order.title, roomType, order.rung);
-  if (link.dead) {
-    // The address was unusable, or the refusal came at once.
-    finish(order.join);
-    return handler_.joinEnded(order.join, Outcome::connectFailed, {}, false);
+  Connection& connection = connectionTo(endpoint);
+  join.connection = &connection;
+  join.uri = formatStreamUri(connection.address(), command.title, roomType, command.rung);
+  if (connection.closed) {
+    // The address is unusable, or the connection failed immediately.
+    removeJoin(command.join);
+    return handler_.joinEnded(command.join, Outcome::connectFailed, {}, false);
   }
-  // Guards against a node that takes nothing any more: what waits behind its full socket would count as
-  // written though it may never leave.
-  if (link.connected &&
-      evbuffer_get_length(bufferevent_get_output(link.bufferEvent.get())) > limits_.unsentBytes) {
+  // The node has stopped reading: requests queued behind its full socket would count as written although they
+  // may never be sent.
+  if (connection.connected &&
+      evbuffer_get_length(bufferevent_get_output(connection.bufferEvent.get())) > limits_.unsentBytes) {
     ++statistics_.sendBuffersFull;
-    finish(order.join);
-    return handler_.joinEnded(order.join, Outcome::connectFailed, {}, false);
+    removeJoin(command.join);
+    return handler_.joinEnded(command.join, Outcome::connectFailed, {}, false);
   }
-  if (link.connected)
-    write(join);
+  if (connection.connected)
+    writeJoin(join);
   else
-    link.waiting.push_back(order.join);
+    connection.waitingJoins.push_back(command.join);
 }
 
-void Nodes::write(JoinAt& join) {
-  const session::JoinId key = join.order.join;
-  if (!handler_.mayWrite(key)) {
-    finish(key);
-    return handler_.joinEnded(key, Outcome::notSent, {}, false);
+void Nodes::writeJoin(JoinState& join) {
+  const session::JoinId joinId = join.command.join;
+  if (!handler_.mayWrite(joinId)) {
+    removeJoin(joinId);
+    return handler_.joinEnded(joinId, Outcome::notSent, {}, false);
   }
   join.written = true;
-  // SETUP and PLAY go in one heap (RFC 7826 18.33): a join costs one turn of the wire.
-  send(*join.link, "SETUP", join, "");
-  send(*join.link, "PLAY", join, "");
+  // SETUP and PLAY are pipelined (RFC 7826, section 18.33), so that a join takes one round trip.
+  sendRequest(*join.connection, "SETUP", join, "");
+  sendRequest(*join.connection, "PLAY", join, "");
 }
 
-void Nodes::send(Link& link, const std::string& method, const JoinAt& join, const std::string& body) {
-  if (link.dead) return;
+void Nodes::sendRequest(Connection& connection, const std::string& method, const JoinState& join,
+                        const std::string& body) {
+  if (connection.closed) return;
   Message message;
   message.method = method;
   message.uri = join.uri;
-  const long long cseq = ++link.cseq;
+  const long long cseq = ++connection.cseq;
   message.headers.emplace_back("CSeq", std::to_string(cseq));
   message.headers.emplace_back("User-Agent", "lupinsill (" + director_ + ")");
-  if (join.session.empty())
-    message.headers.emplace_back("Pipelined-Requests", std::to_string(join.order.join));
+  if (join.sessionId.empty())
+    message.headers.emplace_back("Pipelined-Requests", std::to_string(join.command.join));
   else
-    message.headers.emplace_back("Session", join.session);
-  auto step = Link::Awaited::Step::other;
+    message.headers.emplace_back("Session", join.sessionId);
+  auto step = Connection::PendingRequest::Step::other;
   if (method == "SETUP") {
-    step = Link::Awaited::Step::setUp;
+    step = Connection::PendingRequest::Step::setUp;
     message.headers.emplace_back("Transport", "RTP/AVP;unicast");
-    message.headers.emplace_back("Lupinsill-Subscription", director_ + "-" + std::to_string(join.order.sub));
-    message.headers.emplace_back("Lupinsill-Viewer", escaped(join.order.viewer));
-    message.headers.emplace_back("Lupinsill-Ask", escaped(join.order.idempotencyKey));
+    message.headers.emplace_back("Lupinsill-Subscription",
+                                 director_ + "-" + std::to_string(join.command.sub));
+    message.headers.emplace_back("Lupinsill-Viewer", percentEncode(join.command.viewer));
+    message.headers.emplace_back("Lupinsill-Ask", percentEncode(join.command.idempotencyKey));
   } else if (method == "PLAY") {
-    step = Link::Awaited::Step::play;
+    step = Connection::PendingRequest::Step::play;
   }
   if (!body.empty()) message.headers.emplace_back("Content-Type", "text/parameters");
   message.body = body;
-  link.awaited[cseq] = {join.order.join, step};
-  link.since = net::monotonicNow();
+  connection.inFlight[cseq] = {join.command.join, step};
+  connection.since = net::monotonicNow();
   const std::string bytes = message.serialize();
-  evbuffer_add(bufferevent_get_output(link.bufferEvent.get()), bytes.data(), bytes.size());
+  evbuffer_add(bufferevent_get_output(connection.bufferEvent.get()), bytes.data(), bytes.size());
 }
 
-void Nodes::change(const session::ChangeRung& order) {
-  const auto it = joins_.find(order.join);
+void Nodes::change(const session::ChangeRung& command) {
+  const auto it = joins_.find(command.join);
   if (it == joins_.end()) return;
-  JoinAt& join = it->second;
-  join.order.rung = order.rung;
+  JoinState& join = it->second;
+  join.command.rung = command.rung;
   if (!join.written)
-    join.uri = formatStreamUri(join.link->address(), join.order.title, join.roomType, order.rung);
+    join.uri = formatStreamUri(join.connection->address(), join.command.title, join.roomType, command.rung);
   else
-    send(*join.link, "SET_PARAMETER", join, "rung: " + std::to_string(order.rung) + "\r\n");
+    sendRequest(*join.connection, "SET_PARAMETER", join, "rung: " + std::to_string(command.rung) + "\r\n");
 }
 
-void Nodes::tearDown(session::JoinId key) {
-  const auto it = joins_.find(key);
+void Nodes::tearDown(session::JoinId joinId) {
+  const auto it = joins_.find(joinId);
   if (it == joins_.end()) return;
-  if (it->second.written) send(*it->second.link, "TEARDOWN", it->second, "");
-  finish(key);
+  if (it->second.written) sendRequest(*it->second.connection, "TEARDOWN", it->second, "");
+  removeJoin(joinId);
 }
 
-void Nodes::withdraw(session::JoinId key) {
-  const auto it = joins_.find(key);
+void Nodes::withdraw(session::JoinId joinId) {
+  const auto it = joins_.find(joinId);
   if (it == joins_.end() || it->second.written) return;
-  finish(key);
-  handler_.joinEnded(key, Outcome::notSent, {}, false);
+  removeJoin(joinId);
+  handler_.joinEnded(joinId, Outcome::notSent, {}, false);
 }
 
-void Nodes::finish(session::JoinId key) {
-  const auto it = joins_.find(key);
+void Nodes::removeJoin(session::JoinId joinId) {
+  const auto it = joins_.find(joinId);
   if (it == joins_.end()) return;
-  if (it->second.link != nullptr) {
-    it->second.link->sessions.erase(it->second.session);
-    std::erase(it->second.link->waiting, key);
+  if (it->second.connection != nullptr) {
+    it->second.connection->joinsBySession.erase(it->second.sessionId);
+    std::erase(it->second.connection->waitingJoins, joinId);
   }
   joins_.erase(it);
 }
 
-// ---- connections ----
+// ---- Connections ----
 
-Nodes::Link& Nodes::linkTo(const fleet::NodeEndpoint& endpoint) {
-  auto& slot = links_[endpoint.node];
-  // A node that came back may answer elsewhere.
-  if (slot && !slot->dead && (slot->host != endpoint.host || slot->port != endpoint.port))
-    lost(*slot, !slot->connected);
-  if (slot && slot->dead) dead_.push_back(std::move(slot));
+Nodes::Connection& Nodes::connectionTo(const fleet::NodeEndpoint& endpoint) {
+  auto& slot = connections_[endpoint.node];
+  // A restarted node may have a new address.
+  if (slot && !slot->closed && (slot->host != endpoint.host || slot->port != endpoint.port))
+    closeConnection(*slot, !slot->connected);
+  if (slot && slot->closed) closedConnections_.push_back(std::move(slot));
   if (slot) return *slot;
-  slot = std::make_unique<Link>();
-  Link& link = *slot;
-  link.owner = this;
-  link.node = endpoint.node;
-  link.host = endpoint.host;
-  link.port = endpoint.port;
-  link.since = net::monotonicNow();
-  link.bufferEvent = connect_(base_, endpoint.host, endpoint.port);
+  slot = std::make_unique<Connection>();
+  Connection& connection = *slot;
+  connection.owner = this;
+  connection.node = endpoint.node;
+  connection.host = endpoint.host;
+  connection.port = endpoint.port;
+  connection.since = net::monotonicNow();
+  connection.bufferEvent = connect_(base_, endpoint.host, endpoint.port);
   ++statistics_.connects;
-  if (!link.bufferEvent) {
+  if (!connection.bufferEvent) {
     ++statistics_.connectFailures;
-    link.dead = true;
-    return link;
+    connection.closed = true;
+    return connection;
   }
-  bufferevent_setcb(link.bufferEvent.get(), Link::onRead, nullptr, Link::onEvent, &link);
-  bufferevent_enable(link.bufferEvent.get(), EV_READ | EV_WRITE);
-  return link;
+  bufferevent_setcb(connection.bufferEvent.get(), Connection::onRead, nullptr, Connection::onEvent,
+                    &connection);
+  bufferevent_enable(connection.bufferEvent.get(), EV_READ | EV_WRITE);
+  return connection;
 }
 
-void Nodes::Link::onEvent(bufferevent*, short what, void* me) {
-  Link& link = *static_cast<Link*>(me);
-  if (link.dead) return;
-  if (what & BEV_EVENT_CONNECTED) {
-    link.connected = true;
-    link.since = net::monotonicNow();
-    const std::vector<session::JoinId> waiting = std::move(link.waiting);
-    link.waiting.clear();
-    for (const session::JoinId key : waiting)
-      if (const auto it = link.owner->joins_.find(key); it != link.owner->joins_.end())
-        link.owner->write(it->second);
+void Nodes::Connection::onEvent(bufferevent*, short events, void* context) {
+  Connection& connection = *static_cast<Connection*>(context);
+  if (connection.closed) return;
+  if (events & BEV_EVENT_CONNECTED) {
+    connection.connected = true;
+    connection.since = net::monotonicNow();
+    const std::vector<session::JoinId> readyJoins = std::move(connection.waitingJoins);
+    connection.waitingJoins.clear();
+    for (const session::JoinId joinId : readyJoins)
+      if (const auto it = connection.owner->joins_.find(joinId); it != connection.owner->joins_.end())
+        connection.owner->writeJoin(it->second);
     return;
   }
-  if (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) {
-    // Answers that came before the break still count.
-    onRead(nullptr, me);
-    if (!link.dead) link.owner->lost(link, !link.connected);
+  if (events & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) {
+    // Responses received before the connection broke are still processed.
+    onRead(nullptr, context);
+    if (!connection.closed) connection.owner->closeConnection(connection, !connection.connected);
   }
 }
 
-void Nodes::lost(Link& link, bool connecting) {
-  link.dead = true;
+void Nodes::closeConnection(Connection& connection, bool connecting) {
+  connection.closed = true;
   ++(connecting ? statistics_.connectFailures : statistics_.connectionsLost);
-  bufferevent_disable(link.bufferEvent.get(), EV_READ | EV_WRITE);
-  bufferevent_setcb(link.bufferEvent.get(), nullptr, nullptr, nullptr, nullptr);
-  link.bufferEvent.reset();
-  std::vector<session::JoinId> held;
-  for (const auto& [key, join] : joins_)
-    if (join.link == &link) held.push_back(key);
-  for (const session::JoinId key : held) {
-    const bool written = joins_.at(key).written;
-    finish(key);
-    handler_.joinEnded(key, written ? Outcome::reset : Outcome::connectFailed, {}, false);
+  bufferevent_disable(connection.bufferEvent.get(), EV_READ | EV_WRITE);
+  bufferevent_setcb(connection.bufferEvent.get(), nullptr, nullptr, nullptr, nullptr);
+  connection.bufferEvent.reset();
+  std::vector<session::JoinId> endedJoins;
+  for (const auto& [joinId, join] : joins_)
+    if (join.connection == &connection) endedJoins.push_back(joinId);
+  for (const session::JoinId joinId : endedJoins) {
+    const bool written = joins_.at(joinId).written;
+    removeJoin(joinId);
+    handler_.joinEnded(joinId, written ? Outcome::reset : Outcome::connectFailed, {}, false);
   }
 }
 
 void Nodes::tick(Micros now) {
-  for (auto& [node, link] : links_) {
-    if (link->dead) continue;
-    if (!link->connected && now - link->since > limits_.connect) {
-      lost(*link, true);
-    } else if (link->connected && now - link->since > limits_.idleClose && link->awaited.empty()) {
+  for (auto& [node, connection] : connections_) {
+    if (connection->closed) continue;
+    if (!connection->connected && now - connection->since > limits_.connect) {
+      closeConnection(*connection, true);
+    } else if (connection->connected && now - connection->since > limits_.idleClose &&
+               connection->inFlight.empty()) {
       bool used = false;
-      for (const auto& [key, join] : joins_) used = used || join.link == link.get();
-      if (!used) lost(*link, false);
+      for (const auto& [joinId, join] : joins_) used = used || join.connection == connection.get();
+      if (!used) closeConnection(*connection, false);
     }
   }
-  std::erase_if(links_, [](const auto& entry) { return entry.second->dead; });
-  dead_.clear();
+  std::erase_if(connections_, [](const auto& entry) { return entry.second->closed; });
+  closedConnections_.clear();
 }
 
 NodesStatistics Nodes::statistics() const {
   NodesStatistics statistics = statistics_;
-  statistics.connections = links_.size();
+  statistics.connections = connections_.size();
   return statistics;
 }
 
-// ---- what comes back ----
+// ---- Responses and requests of nodes ----
 
-void Nodes::Link::onRead(bufferevent*, void* me) {
-  Link& link = *static_cast<Link*>(me);
-  if (link.dead || !link.connected) return;
-  evbuffer* input = bufferevent_get_input(link.bufferEvent.get());
+void Nodes::Connection::onRead(bufferevent*, void* context) {
+  Connection& connection = *static_cast<Connection*>(context);
+  if (connection.closed || !connection.connected) return;
+  evbuffer* input = bufferevent_get_input(connection.bufferEvent.get());
   std::string bytes(evbuffer_get_length(input), '\0');
   evbuffer_remove(input, bytes.data(), bytes.size());
-  link.since = net::monotonicNow();
-  link.reader.feed(bytes);
+  connection.since = net::monotonicNow();
+  connection.parser.feed(bytes);
   try {
-    while (!link.dead) {
-      const std::optional<Message> message = link.reader.next();
+    while (!connection.closed) {
+      const std::optional<Message> message = connection.parser.next();
       if (!message) return;
       if (message->isRequest())
-        link.owner->asked(link, *message);
+        connection.owner->handleRequest(connection, *message);
       else
-        link.owner->answered(link, *message);
+        connection.owner->handleResponse(connection, *message);
     }
   } catch (const RtspParseError&) {
-    // Nothing that follows can be told apart: the connection is as good as lost.
-    ++link.owner->statistics_.parseErrors;
-    link.owner->lost(link, false);
+    // Message boundaries are lost, so nothing further can be read from this connection.
+    ++connection.owner->statistics_.parseErrors;
+    connection.owner->closeConnection(connection, false);
   }
 }
 
-void Nodes::answered(Link& link, const Message& message) {
-  const auto awaited = link.awaited.find(message.cseq());
-  if (awaited == link.awaited.end()) return;
-  const Link::Awaited what = awaited->second;
-  link.awaited.erase(awaited);
-  const auto it = joins_.find(what.join);
+void Nodes::handleResponse(Connection& connection, const Message& message) {
+  const auto pending = connection.inFlight.find(message.cseq());
+  if (pending == connection.inFlight.end()) return;
+  const Connection::PendingRequest request = pending->second;
+  connection.inFlight.erase(pending);
+  const auto it = joins_.find(request.joinId);
   if (it == joins_.end()) {
-    // The join was given up on meanwhile; its TEARDOWN is on the way.
-    if (what.step != Link::Awaited::Step::other) ++statistics_.lateResponses;
+    // The join was torn down in the meantime; its TEARDOWN has been sent.
+    if (request.step != Connection::PendingRequest::Step::other) ++statistics_.lateResponses;
     return;
   }
-  JoinAt& join = it->second;
+  JoinState& join = it->second;
   const OrcaReport orca = parseOrca(message.header("Endpoint-Load-Metrics"));
   const Outcome outcome = outcomeForStatus(message.status);
-  if (what.step == Link::Awaited::Step::other) {
-    // A session that the node does not know any more has ended there.
-    if (message.status == 454) {
-      finish(what.join);
-      handler_.joinEnded(what.join, Outcome::reset, orca.report, false);
+  if (request.step == Connection::PendingRequest::Step::other) {
+    // The node no longer knows the session, so it has ended there.
+    if (message.status == statusSessionNotFound) {
+      removeJoin(request.joinId);
+      handler_.joinEnded(request.joinId, Outcome::reset, orca.report, false);
     }
     return;
   }
   if (outcome != Outcome::ok) {
-    // A PLAY that fails after its SETUP ran leaves a session behind.
-    const bool ran = !join.session.empty();
-    if (ran) send(link, "TEARDOWN", join, "");
-    finish(what.join);
-    return handler_.joinEnded(what.join, ran ? Outcome::error : outcome, orca.report, false);
+    // If PLAY fails after a successful SETUP, the node still holds a session.
+    const bool setUpRan = !join.sessionId.empty();
+    if (setUpRan) sendRequest(connection, "TEARDOWN", join, "");
+    removeJoin(request.joinId);
+    return handler_.joinEnded(request.joinId, setUpRan ? Outcome::error : outcome, orca.report, false);
   }
-  if (what.step == Link::Awaited::Step::setUp) {
+  if (request.step == Connection::PendingRequest::Step::setUp) {
     std::string_view session = message.header("Session");
     session = session.substr(0, session.find(';'));
-    join.session = session;
-    if (!join.session.empty()) link.sessions[join.session] = what.join;
+    join.sessionId = session;
+    if (!join.sessionId.empty()) connection.joinsBySession[join.sessionId] = request.joinId;
     return;
   }
-  join.began = true;
-  handler_.joinStarted(what.join);
-  tell(what.join, orca);
+  join.started = true;
+  handler_.joinStarted(request.joinId);
+  reportMeasurements(request.joinId, orca);
 }
 
-void Nodes::tell(session::JoinId join, const OrcaReport& orca) {
-  if (orca.delivered) handler_.measured(join, MeasurementKind::delivered, *orca.delivered);
-  const auto& link = orca.report.linkUse ? orca.report.linkUse : orca.report.linkShare;
-  if (link) handler_.measured(join, MeasurementKind::link, *link);
-  if (orca.report.uplinkUse) handler_.measured(join, MeasurementKind::uplink, *orca.report.uplinkUse);
+void Nodes::reportMeasurements(session::JoinId joinId, const OrcaReport& orca) {
+  if (orca.delivered) handler_.measured(joinId, MeasurementKind::delivered, *orca.delivered);
+  const auto& linkUse = orca.report.linkUse ? orca.report.linkUse : orca.report.linkShare;
+  if (linkUse) handler_.measured(joinId, MeasurementKind::link, *linkUse);
+  if (orca.report.uplinkUse) handler_.measured(joinId, MeasurementKind::uplink, *orca.report.uplinkUse);
 }
 
-void Nodes::asked(Link& link, const Message& message) {
+void Nodes::handleRequest(Connection& connection, const Message& message) {
   Message reply;
-  reply.status = message.method == "PLAY_NOTIFY" || message.method == "REDIRECT" ? 200 : 501;
+  reply.status =
+      message.method == "PLAY_NOTIFY" || message.method == "REDIRECT" ? statusOk : statusNotImplemented;
   reply.headers.emplace_back("CSeq", std::string(message.header("CSeq")));
   const std::string bytes = reply.serialize();
-  evbuffer_add(bufferevent_get_output(link.bufferEvent.get()), bytes.data(), bytes.size());
-  // REDIRECT without a session speaks of all of them (RFC 7826 13.10): the node drains.
-  if (message.method == "REDIRECT") return handler_.nodeDrains(link.node);
+  evbuffer_add(bufferevent_get_output(connection.bufferEvent.get()), bytes.data(), bytes.size());
+  // REDIRECT without a session concerns all sessions of the connection (RFC 7826, section 13.10): the node
+  // drains.
+  if (message.method == "REDIRECT") return handler_.nodeDrains(connection.node);
   if (message.method != "PLAY_NOTIFY") return;
-  const auto it = link.sessions.find(std::string(message.header("Session")));
-  if (it == link.sessions.end()) return;
-  const session::JoinId join = it->second;
+  const auto it = connection.joinsBySession.find(std::string(message.header("Session")));
+  if (it == connection.joinsBySession.end()) return;
+  const session::JoinId joinId = it->second;
   const OrcaReport orca = parseOrca(message.header("Endpoint-Load-Metrics"));
   const std::string_view reason = message.header("Notify-Reason");
   if (reason == "end-of-stream") {
-    finish(join);
-    return handler_.joinEnded(join, Outcome::ok, orca.report, true);
+    removeJoin(joinId);
+    return handler_.joinEnded(joinId, Outcome::ok, orca.report, true);
   }
-  tell(join, orca);
+  reportMeasurements(joinId, orca);
 }
 
 }  // namespace lupinsill::media
--- a/src/media/rtsp.cpp
+++ b/src/media/rtsp.cpp
@@ -9,6 +9,11 @@
 namespace lupinsill::media {
 namespace {
 
+// Consumed bytes are erased from the parser's buffer once there are this many.
+constexpr std::size_t compactionThresholdBytes = 65536;
+// Values of ORCA metrics above this are ignored as invalid.
+constexpr double maxMetricValue = 1e6;
+
 bool sameName(std::string_view a, std::string_view b) {
   const auto lower = [](char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c + 32) : c; };
   return a.size() == b.size() &&
@@ -21,34 +26,36 @@
   return text;
 }
 
-long long numberOf(std::string_view text, long long instead) {
+long long parseInteger(std::string_view text, long long fallback) {
   long long value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
-  return error == std::errc() && end == text.data() + text.size() && !text.empty() ? value : instead;
+  return error == std::errc() && end == text.data() + text.size() && !text.empty() ? value : fallback;
 }
 
 Message parseHead(std::string_view head) {
   Message message;
-  std::size_t at = 0;
-  bool first = true;
-  while (at <= head.size()) {
-    const std::size_t end = std::min(head.find("\r\n", at), head.size());
-    const std::string_view line = head.substr(at, end - at);
-    at = end + 2;
-    if (first) {
-      first = false;
+  std::size_t position = 0;
+  bool isFirstLine = true;
+  while (position <= head.size()) {
+    const std::size_t end = std::min(head.find("\r\n", position), head.size());
+    const std::string_view line = head.substr(position, end - position);
+    position = end + 2;
+    if (isFirstLine) {
+      isFirstLine = false;
       if (line.starts_with("RTSP/2.0 ")) {
-        message.status = static_cast<int>(numberOf(line.substr(9, 3), -1));
+        message.status = static_cast<int>(parseInteger(line.substr(9, 3), -1));
         if (message.status < 100 || message.status > 599 || (line.size() > 12 && line[12] != ' '))
           throw RtspParseError("status line is not RTSP 2.0");
         continue;
       }
-      const std::size_t one = line.find(' ');
-      const std::size_t two = one == std::string_view::npos ? one : line.find(' ', one + 1);
-      if (two == std::string_view::npos || one == 0 || line.substr(two + 1) != "RTSP/2.0")
+      const std::size_t firstSpace = line.find(' ');
+      const std::size_t secondSpace =
+          firstSpace == std::string_view::npos ? firstSpace : line.find(' ', firstSpace + 1);
+      if (secondSpace == std::string_view::npos || firstSpace == 0 ||
+          line.substr(secondSpace + 1) != "RTSP/2.0")
         throw RtspParseError("first line is neither a request nor a response of RTSP 2.0");
-      message.method = line.substr(0, one);
-      message.uri = line.substr(one + 1, two - one - 1);
+      message.method = line.substr(0, firstSpace);
+      message.uri = line.substr(firstSpace + 1, secondSpace - firstSpace - 1);
       continue;
     }
     if (line.empty()) continue;
@@ -67,7 +74,7 @@
   return {};
 }
 
-long long Message::cseq() const { return numberOf(header("CSeq"), -1); }
+long long Message::cseq() const { return parseInteger(header("CSeq"), -1); }
 
 std::string Message::serialize() const {
   std::string out;
@@ -111,26 +118,28 @@
 }
 
 std::optional<Message> MessageParser::next() {
-  // Guards against a buffer that is moved for each of many small messages read in one heap.
-  if (start_ > 65536 || start_ == buffer_.size()) buffer_.erase(0, start_), start_ = 0;
+  // Consumed bytes are erased in large steps: erasing after each of many small messages would move the rest
+  // of the buffer each time.
+  if (start_ > compactionThresholdBytes || start_ == buffer_.size()) buffer_.erase(0, start_), start_ = 0;
   std::string_view rest = std::string_view(buffer_).substr(start_);
-  // RFC 7826 allows empty lines between messages.
+  // Empty lines between messages are allowed (RFC 7826, section 5).
   while (rest.starts_with("\r\n")) rest.remove_prefix(2), start_ += 2;
   const std::size_t end = rest.find("\r\n\r\n");
   if (end == std::string_view::npos) {
-    if (rest.size() > headMost_) throw RtspParseError("head over " + std::to_string(headMost_) + " bytes");
+    if (rest.size() > maxHeadBytes_)
+      throw RtspParseError("head over " + std::to_string(maxHeadBytes_) + " bytes");
     return std::nullopt;
   }
-  if (end > headMost_) throw RtspParseError("head over " + std::to_string(headMost_) + " bytes");
+  if (end > maxHeadBytes_) throw RtspParseError("head over " + std::to_string(maxHeadBytes_) + " bytes");
   Message message = parseHead(rest.substr(0, end));
-  const std::string_view told = message.header("Content-Length");
-  const long long length = told.empty() ? 0 : numberOf(told, -1);
-  if (length < 0 || static_cast<std::size_t>(length) > bodyMost_)
+  const std::string_view contentLength = message.header("Content-Length");
+  const long long length = contentLength.empty() ? 0 : parseInteger(contentLength, -1);
+  if (length < 0 || static_cast<std::size_t>(length) > maxBodyBytes_)
     throw RtspParseError("Content-Length out of range");
-  const std::size_t whole = end + 4 + static_cast<std::size_t>(length);
-  if (rest.size() < whole) return std::nullopt;
+  const std::size_t messageSize = end + 4 + static_cast<std::size_t>(length);
+  if (rest.size() < messageSize) return std::nullopt;
   message.body = rest.substr(end + 4, static_cast<std::size_t>(length));
-  start_ += whole;
+  start_ += messageSize;
   return message;
 }
 
@@ -163,8 +172,9 @@
     const std::string text(trim(pair.substr(equals + 1)));
     char* end = nullptr;
     const double number = std::strtod(text.c_str(), &end);
-    // Guards against a report that is no number: it would poison every average that it enters.
-    if (end == text.c_str() || *end != 0 || !std::isfinite(number) || number < 0 || number > 1e6) continue;
+    // NaN, infinite or absurd values would spoil every average that they enter.
+    if (end == text.c_str() || *end != 0 || !std::isfinite(number) || number < 0 || number > maxMetricValue)
+      continue;
     const std::string_view name = trim(pair.substr(0, equals));
     if (name == "application_utilization") orca.report.linkUse = number;
     if (name == "named_metrics.link") orca.report.linkShare = number;
@@ -176,7 +186,8 @@
 
 Outcome outcomeForStatus(int status) {
   if (status >= 200 && status < 300) return Outcome::ok;
-  // RFC 7826 17.4.24 and 17.5.4: refused for want of bandwidth, or not served now. Neither runs the set-up.
+  // 453 Not Enough Bandwidth and 503 Service Unavailable (RFC 7826, sections 17.4.24 and 17.5.4): the request
+  // was refused without being run.
   if (status == 453 || status == 503) return Outcome::full;
   return Outcome::error;
 }
--- a/tests/rtsp_test.cpp
+++ b/tests/rtsp_test.cpp
@@ -1,3 +1,4 @@
+// Tests of RTSP message parsing and serialization, stream URIs and ORCA load reports.
 #include <catch2/catch.hpp>
 
 #include "media/nodes.h"
@@ -6,73 +7,73 @@
 using namespace lupinsill;
 using namespace lupinsill::media;
 
-TEST_CASE("A message comes back as it was, however the bytes are cut") {
-  Message out;
-  out.method = "SETUP";
-  out.uri = formatStreamUri("127.0.0.1:9000", "a/b c?", "paid-class", 3);
-  out.headers = {{"CSeq", "7"}, {"Transport", "RTP/AVP;unicast"}};
-  out.body = "rung: 3\r\n";
-  const std::string bytes = out.serialize() + out.serialize();
-  for (std::size_t cut = 0; cut <= bytes.size(); ++cut) {
-    MessageParser reader;
-    reader.feed(std::string_view(bytes).substr(0, cut));
-    std::size_t got = 0;
-    const auto drain = [&] {
-      while (const auto message = reader.next()) {
-        ++got;
-        CHECK(message->uri == out.uri);
+TEST_CASE("Messages are parsed unchanged wherever the bytes are split between reads") {
+  Message sent;
+  sent.method = "SETUP";
+  sent.uri = formatStreamUri("127.0.0.1:9000", "a/b c?", "paid-class", 3);
+  sent.headers = {{"CSeq", "7"}, {"Transport", "RTP/AVP;unicast"}};
+  sent.body = "rung: 3\r\n";
+  const std::string bytes = sent.serialize() + sent.serialize();
+  for (std::size_t split = 0; split <= bytes.size(); ++split) {
+    MessageParser parser;
+    parser.feed(std::string_view(bytes).substr(0, split));
+    std::size_t received = 0;
+    const auto parseAll = [&] {
+      while (const auto message = parser.next()) {
+        ++received;
+        CHECK(message->uri == sent.uri);
         CHECK(message->cseq() == 7);
         CHECK(message->header("transport") == "RTP/AVP;unicast");
-        CHECK(message->body == out.body);
+        CHECK(message->body == sent.body);
       }
     };
-    drain();
-    reader.feed(std::string_view(bytes).substr(cut));
-    drain();
-    CHECK(got == 2);
+    parseAll();
+    parser.feed(std::string_view(bytes).substr(split));
+    parseAll();
+    CHECK(received == 2);
   }
   CHECK(percentDecode("front-1%3Ak") == "front-1:k");
-  StreamUri named;
-  REQUIRE(parseStreamUri(out.uri, named));
-  CHECK(named.title == "a/b c?");
-  CHECK(named.roomType == "paid-class");
-  CHECK(named.rung == 3);
+  StreamUri streamUri;
+  REQUIRE(parseStreamUri(sent.uri, streamUri));
+  CHECK(streamUri.title == "a/b c?");
+  CHECK(streamUri.roomType == "paid-class");
+  CHECK(streamUri.rung == 3);
 }
 
-TEST_CASE("Bytes that can never become a message are refused, and an endless head is not kept") {
-  const auto reads = [](const std::string& bytes) {
-    MessageParser reader;
-    reader.feed(bytes);
-    reader.next();
+TEST_CASE("Malformed messages and oversized heads are rejected") {
+  const auto parse = [](const std::string& bytes) {
+    MessageParser parser;
+    parser.feed(bytes);
+    parser.next();
   };
-  CHECK_THROWS_AS(reads("HTTP/1.1 200 OK\r\n\r\n"), RtspParseError);
-  CHECK_THROWS_AS(reads("RTSP/2.0 abc\r\n\r\n"), RtspParseError);
-  CHECK_THROWS_AS(reads("PLAY * RTSP/1.0\r\n\r\n"), RtspParseError);
-  CHECK_THROWS_AS(reads("PLAY * RTSP/2.0\r\nno colon\r\n\r\n"), RtspParseError);
-  CHECK_THROWS_AS(reads("PLAY * RTSP/2.0\r\nContent-Length: -1\r\n\r\n"), RtspParseError);
-  CHECK_THROWS_AS(reads("PLAY * RTSP/2.0\r\nContent-Length: 999999\r\n\r\n"), RtspParseError);
-  CHECK_THROWS_AS(reads(std::string(9000, 'x')), RtspParseError);
+  CHECK_THROWS_AS(parse("HTTP/1.1 200 OK\r\n\r\n"), RtspParseError);
+  CHECK_THROWS_AS(parse("RTSP/2.0 abc\r\n\r\n"), RtspParseError);
+  CHECK_THROWS_AS(parse("PLAY * RTSP/1.0\r\n\r\n"), RtspParseError);
+  CHECK_THROWS_AS(parse("PLAY * RTSP/2.0\r\nno colon\r\n\r\n"), RtspParseError);
+  CHECK_THROWS_AS(parse("PLAY * RTSP/2.0\r\nContent-Length: -1\r\n\r\n"), RtspParseError);
+  CHECK_THROWS_AS(parse("PLAY * RTSP/2.0\r\nContent-Length: 999999\r\n\r\n"), RtspParseError);
+  CHECK_THROWS_AS(parse(std::string(9000, 'x')), RtspParseError);
 }
 
-TEST_CASE("Only a refusal for want of room or service proves that a set-up never ran") {
+TEST_CASE("Only statuses 453 and 503 prove that a SETUP did not run") {
   CHECK(outcomeForStatus(200) == Outcome::ok);
   CHECK(outcomeForStatus(453) == Outcome::full);
   CHECK(outcomeForStatus(503) == Outcome::full);
   for (const int status : {400, 404, 454, 455, 500, 501}) CHECK(outcomeForStatus(status) == Outcome::error);
 }
 
-TEST_CASE("Load reports: what is known is read, what is odd is left out") {
+TEST_CASE("Load reports: known metrics are parsed, invalid values and unknown metrics are ignored") {
   LoadReport report;
   report.linkUse = 1.25;
   report.uplinkUse = 0.5;
-  const OrcaReport back = parseOrca(formatOrca(report, 0.9));
-  CHECK(*back.report.linkUse == Approx(1.25));
-  CHECK(*back.report.uplinkUse == Approx(0.5));
-  CHECK(*back.delivered == Approx(0.9));
-  CHECK_FALSE(back.report.linkShare);
-  const OrcaReport odd =
+  const OrcaReport parsed = parseOrca(formatOrca(report, 0.9));
+  CHECK(*parsed.report.linkUse == Approx(1.25));
+  CHECK(*parsed.report.uplinkUse == Approx(0.5));
+  CHECK(*parsed.delivered == Approx(0.9));
+  CHECK_FALSE(parsed.report.linkShare);
+  const OrcaReport invalid =
       parseOrca("TEXT application_utilization=nan, named_metrics.uplink=-1, cpu_utilization=0.3, x");
-  CHECK_FALSE(odd.report.linkUse);
-  CHECK_FALSE(odd.report.uplinkUse);
+  CHECK_FALSE(invalid.report.linkUse);
+  CHECK_FALSE(invalid.report.uplinkUse);
   CHECK_FALSE(parseOrca("BIN CAE=").report.linkUse);
 }
