--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -13,44 +13,58 @@
 namespace lupinsill::store {
 namespace {
 
-constexpr std::uint8_t version = 1;
-constexpr Micros sweepEvery = 10'000'000;
+constexpr std::uint8_t formatVersion = 1;
+constexpr Micros expirySweepInterval = 10'000'000;  // 10 s
 
-// On disk: little-endian, without padding.
-struct Value {
-  std::uint8_t bytes[18]{};  // version, mark, until (UTC us), checksum over key and the first ten
+// Layout of a record on disk. The key is the digest; the value is, little-endian and without padding:
+// 1 byte format version, 1 byte record state, 8 bytes expiry (UTC microseconds), 8 bytes checksum over the
+// key and the preceding fields.
+constexpr std::size_t keyBytes = 16;
+constexpr std::size_t stateOffset = 1;
+constexpr std::size_t expiryOffset = 2;
+constexpr std::size_t checksumOffset = 10;
+constexpr std::size_t valueBytes = 18;
+
+struct EncodedRecord {
+  std::uint8_t bytes[valueBytes]{};
 };
 
-std::uint64_t sumOf(const ledger::Digest& key, const std::uint8_t* value) {
-  std::uint8_t all[26];
-  std::memcpy(all, key.bytes.data(), 16);
-  std::memcpy(all + 16, value, 10);
-  return XXH3_64bits(all, sizeof all);
+std::uint64_t checksumOf(const ledger::Digest& key, const std::uint8_t* value) {
+  std::uint8_t covered[keyBytes + checksumOffset];
+  std::memcpy(covered, key.bytes.data(), keyBytes);
+  std::memcpy(covered + keyBytes, value, checksumOffset);
+  return XXH3_64bits(covered, sizeof covered);
 }
 
-Value encode(const ledger::Record& record, Micros clockToWall) {
-  Value value;
-  value.bytes[0] = version;
-  value.bytes[1] = static_cast<std::uint8_t>(record.mark);
-  const Micros wall = record.until + clockToWall;
-  std::memcpy(value.bytes + 2, &wall, 8);
-  const std::uint64_t sum = sumOf(record.key, value.bytes);
-  std::memcpy(value.bytes + 10, &sum, 8);
+EncodedRecord encode(const ledger::Record& record, Micros clockToWall) {
+  EncodedRecord value;
+  value.bytes[0] = formatVersion;
+  value.bytes[stateOffset] = static_cast<std::uint8_t>(record.mark);
+  const Micros expiry = record.until + clockToWall;
+  std::memcpy(value.bytes + expiryOffset, &expiry, sizeof expiry);
+  const std::uint64_t checksum = checksumOf(record.key, value.bytes);
+  std::memcpy(value.bytes + checksumOffset, &checksum, sizeof checksum);
   return value;
 }
 
+// Returns false if the record is damaged.
 bool decode(const MDB_val& key, const MDB_val& data, Micros clockToWall, ledger::Record& record) {
-  if (key.mv_size != 16 || data.mv_size != sizeof(Value)) return false;
-  std::memcpy(record.key.bytes.data(), key.mv_data, 16);
-  std::uint8_t bytes[18];
+  if (key.mv_size != keyBytes || data.mv_size != sizeof(EncodedRecord)) return false;
+  std::memcpy(record.key.bytes.data(), key.mv_data, keyBytes);
+  std::uint8_t bytes[valueBytes];
   std::memcpy(bytes, data.mv_data, sizeof bytes);
-  std::uint64_t sum = 0;
-  std::memcpy(&sum, bytes + 10, 8);
-  if (bytes[0] != version || bytes[1] < 1 || bytes[1] > 5 || sum != sumOf(record.key, bytes)) return false;
-  record.mark = static_cast<ledger::RecordState>(bytes[1]);
-  Micros wall = 0;
-  std::memcpy(&wall, bytes + 2, 8);
-  record.until = wall - clockToWall;
+  std::uint64_t checksum = 0;
+  std::memcpy(&checksum, bytes + checksumOffset, sizeof checksum);
+  constexpr auto firstState = static_cast<std::uint8_t>(ledger::RecordState::intent);
+  constexpr auto lastState = static_cast<std::uint8_t>(ledger::RecordState::refused);
+  const std::uint8_t state = bytes[stateOffset];
+  if (bytes[0] != formatVersion || state < firstState || state > lastState ||
+      checksum != checksumOf(record.key, bytes))
+    return false;
+  record.mark = static_cast<ledger::RecordState>(state);
+  Micros expiry = 0;
+  std::memcpy(&expiry, bytes + expiryOffset, sizeof expiry);
+  record.until = expiry - clockToWall;
   return true;
 }
 
@@ -64,8 +78,9 @@
 
 namespace {
 
+// Reads all records; damaged ones are left out and noted in the result.
 LoadResult read(MDB_env* env, unsigned table, Micros clockToWall, const std::string& file) {
-  LoadResult found;
+  LoadResult result;
   MDB_txn* txn = nullptr;
   if (const int rc = mdb_txn_begin(env, nullptr, MDB_RDONLY, &txn); rc != 0)
     throw std::runtime_error(file + ": " + mdb_strerror(rc));
@@ -75,39 +90,39 @@
   while (rc == 0 && (rc = mdb_cursor_get(cursor, &key, &data, MDB_NEXT)) == 0) {
     ledger::Record record;
     if (decode(key, data, clockToWall, record)) {
-      found.records.push_back(record);
+      result.records.push_back(record);
     } else {
-      found.intact = false;
-      found.error = "a record fails its checksum";
+      result.intact = false;
+      result.error = "a record fails its checksum";
     }
   }
-  if (rc != MDB_NOTFOUND) found.intact = false, found.error = mdb_strerror(rc);
+  if (rc != MDB_NOTFOUND) result.intact = false, result.error = mdb_strerror(rc);
   if (cursor != nullptr) mdb_cursor_close(cursor);
   mdb_txn_abort(txn);
-  return found;
+  return result;
 }
 
 }  // namespace
 
 LoadResult readRecords(const std::string& file) {
-  struct Env {
+  struct Environment {
     MDB_env* env = nullptr;
-    ~Env() {
+    ~Environment() {
       if (env != nullptr) mdb_env_close(env);
     }
-  } opened;
+  } environment;
   const auto check = [&](int rc) {
     if (rc != 0) throw std::runtime_error(file + ": " + mdb_strerror(rc));
   };
-  check(mdb_env_create(&opened.env));
-  check(mdb_env_open(opened.env, file.c_str(), MDB_NOSUBDIR | MDB_RDONLY, 0600));
+  check(mdb_env_create(&environment.env));
+  check(mdb_env_open(environment.env, file.c_str(), MDB_NOSUBDIR | MDB_RDONLY, 0600));
   MDB_txn* txn = nullptr;
   unsigned table = 0;
-  check(mdb_txn_begin(opened.env, nullptr, MDB_RDONLY, &txn));
+  check(mdb_txn_begin(environment.env, nullptr, MDB_RDONLY, &txn));
   const int rc = mdb_dbi_open(txn, nullptr, 0, &table);
   mdb_txn_abort(txn);
   check(rc);
-  return read(opened.env, table, 0, file);
+  return read(environment.env, table, 0, file);
 }
 
 Store::Store(const std::string& file, std::size_t megabytes, Micros clockToWall, std::function<void()> wake)
@@ -115,28 +130,28 @@
   const bool existed = std::filesystem::exists(file);
   try {
     open(file, megabytes);
-    found_ = read(env_, table_, clockToWall_, file);
-  } catch (const std::runtime_error& bad) {
+    loadResult_ = read(env_, table_, clockToWall_, file);
+  } catch (const std::runtime_error& error) {
     if (env_ != nullptr) mdb_env_close(env_);
     env_ = nullptr;
     if (!existed) throw;
-    found_ = {{}, false, false, bad.what()};
+    loadResult_ = {{}, false, false, error.what()};
   }
-  if (!found_.intact) {
-    // Guards against a damaged file that is answered from as if it were empty, or written on. What could be
-    // read of it still counts; the file itself is kept for whoever looks into it.
+  if (!loadResult_.intact) {
+    // A damaged file must neither be treated as an empty ledger nor be written to. It is quarantined for
+    // inspection, and the records that could be read are copied to a new file.
     if (env_ != nullptr) mdb_env_close(env_);
     env_ = nullptr;
     std::error_code ignored;
     std::filesystem::rename(file, file + ".damaged-" + std::to_string(wallNow() / 1'000'000), ignored);
     std::filesystem::remove(file + "-lock", ignored);
     open(file, megabytes);
-    std::vector<ledger::Write> kept;
-    for (const ledger::Record& record : found_.records) kept.push_back({0, record});
-    if (!commit(kept)) throw std::runtime_error(file + ": cannot be written");
+    std::vector<ledger::Write> salvaged;
+    for (const ledger::Record& record : loadResult_.records) salvaged.push_back({0, record});
+    if (!commit(salvaged)) throw std::runtime_error(file + ": cannot be written");
   }
-  found_.created = !existed;
-  thread_ = std::thread([this] { run(); });
+  loadResult_.created = !existed;
+  thread_ = std::thread([this] { runCommitLoop(); });
 }
 
 Store::~Store() {
@@ -144,7 +159,7 @@
     const std::lock_guard lock(mutex_);
     stop_ = true;
   }
-  ready_.notify_one();
+  workAvailable_.notify_one();
   if (thread_.joinable()) thread_.join();
   if (env_ != nullptr) mdb_env_close(env_);
 }
@@ -174,7 +189,7 @@
     else
       queue_.insert(queue_.end(), writes.begin(), writes.end());
   }
-  ready_.notify_one();
+  workAvailable_.notify_one();
 }
 
 ledger::Seq Store::durable() const {
@@ -195,26 +210,26 @@
   if (mdb_txn_begin(env_, nullptr, 0, &txn) != 0) return false;
   int rc = 0;
   for (const ledger::Write& write : batch) {
-    MDB_val key{16, const_cast<unsigned char*>(write.record.key.bytes.data())};
+    MDB_val key{keyBytes, const_cast<unsigned char*>(write.record.key.bytes.data())};
     if (write.record.mark == ledger::RecordState::refused) {
       rc = mdb_del(txn, table_, &key, nullptr);
       if (rc == MDB_NOTFOUND) rc = 0;
     } else {
-      Value value = encode(write.record, clockToWall_);
+      EncodedRecord value = encode(write.record, clockToWall_);
       MDB_val data{sizeof value.bytes, value.bytes};
       rc = mdb_put(txn, table_, &key, &data, 0);
     }
     if (rc != 0) break;
   }
-  // Now and then what has expired goes too, or the file would only grow.
-  if (rc == 0 && wallNow() - swept_ > sweepEvery) {
-    swept_ = wallNow();
+  // Expired records are deleted from time to time, so that the file does not grow without bound.
+  if (rc == 0 && wallNow() - lastExpirySweep_ > expirySweepInterval) {
+    lastExpirySweep_ = wallNow();
     MDB_cursor* cursor = nullptr;
     if (mdb_cursor_open(txn, table_, &cursor) == 0) {
       MDB_val key{}, data{};
       while (mdb_cursor_get(cursor, &key, &data, MDB_NEXT) == 0) {
         ledger::Record record;
-        if (decode(key, data, 0, record) && record.until < swept_) mdb_cursor_del(cursor, 0);
+        if (decode(key, data, 0, record) && record.until < lastExpirySweep_) mdb_cursor_del(cursor, 0);
       }
       mdb_cursor_close(cursor);
     }
@@ -226,23 +241,23 @@
   return mdb_txn_commit(txn) == 0;
 }
 
-void Store::run() {
+void Store::runCommitLoop() {
   while (true) {
     std::vector<ledger::Write> batch;
     {
       std::unique_lock lock(mutex_);
-      ready_.wait(lock, [this] { return stop_ || !queue_.empty(); });
+      workAvailable_.wait(lock, [this] { return stop_ || !queue_.empty(); });
       if (queue_.empty()) return;
       batch.swap(queue_);
     }
-    const bool good = commit(batch);
-    ledger::Seq last = 0;
-    for (const ledger::Write& write : batch) last = std::max(last, write.seq);
+    const bool committed = commit(batch);
+    ledger::Seq lastSeq = 0;
+    for (const ledger::Write& write : batch) lastSeq = std::max(lastSeq, write.seq);
     {
       const std::lock_guard lock(mutex_);
       ++commits_;
-      if (!good) failed_ = true;
-      if (!failed_) durable_ = std::max(durable_, last);
+      if (!committed) failed_ = true;
+      if (!failed_) durable_ = std::max(durable_, lastSeq);
     }
     wake_();
   }
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -1,8 +1,11 @@
-// The ledger's records on disk: LMDB, written by a thread of its own in group commits, so that one sync
-// serves all joins that wait and no sync stands in the loop's way. Each record carries a checksum. Errors:
-// opening never fails for a damaged file (it is set aside and told as not whole); it throws
-// std::runtime_error where the place cannot be written at all. A failed commit is told by failed(): nothing
-// after it becomes durable, and unsafe asks are then refused, never sent unrecorded.
+// Persistent storage of the ledger's records in an LMDB file. A thread of its own writes them in group
+// commits: one fsync serves all joins waiting for it, and the event loop never blocks on the disk. Each
+// record carries a checksum.
+//
+// Errors: a damaged file does not prevent a start; it is quarantined (renamed) and reported as not intact.
+// std::runtime_error is thrown if the file can neither be opened nor created. After a failed commit, failed()
+// is true and no later write becomes durable, so the director refuses unsafe requests instead of sending
+// their joins unrecorded.
 #pragma once
 
 #include <condition_variable>
@@ -19,35 +22,42 @@
 
 namespace lupinsill::store {
 
+// The contents of a ledger file.
 struct LoadResult {
   std::vector<ledger::Record> records;
   bool intact = true;
-  bool created = false;  // no file was there: a first start, or a ledger that was lost
-  std::string error;     // where it is not whole
+  bool created = false;  // there was no file: a first start, or the ledger was deleted
+  std::string error;     // why the file is not intact
 };
 
-// What stands in a ledger's file, for operators, also while a director writes it. Times are UTC microseconds.
-// Throws std::runtime_error where the file cannot be read.
+// Reads a ledger file for inspection, also while a director has it open in another process. The records'
+// times are UTC microseconds. Throws std::runtime_error if the file cannot be read.
 LoadResult readRecords(const std::string& file);
 
+// The ledger file of a director. Public methods may be called from any thread.
 class Store {
  public:
-  // `clockToWall`: added to the caller's microseconds to get UTC, in which records are kept.
-  // `wake` is called from the store's thread after each commit.
+  // Opens or creates the file and reads its records. `megabytes` is the maximum size of the file. Records are
+  // stored with UTC times, which are the caller's times plus `clockToWall` (microseconds). `wake` is called
+  // on the store's thread after each commit.
   Store(const std::string& file, std::size_t megabytes, Micros clockToWall, std::function<void()> wake);
+  // Commits what is queued before it returns.
   ~Store();
   Store(const Store&) = delete;
   Store& operator=(const Store&) = delete;
 
-  const LoadResult& loadResult() const { return found_; }
+  // What the file contained at the start; if it was damaged, the records that could be salvaged.
+  const LoadResult& loadResult() const { return loadResult_; }
+  // Queues writes for the next commit; does not block on the disk.
   void write(std::vector<ledger::Write> writes);
-  ledger::Seq durable() const;  // everything up to this number is on disk
-  bool failed() const;
-  std::uint64_t commits() const;
+  ledger::Seq durable() const;    // all writes up to this sequence number are on disk
+  bool failed() const;            // whether a commit has failed
+  std::uint64_t commits() const;  // commits tried so far
 
  private:
   void open(const std::string& file, std::size_t megabytes);
-  void run();
+  void runCommitLoop();
+  // Writes a batch in one transaction; returns whether it is on disk.
   bool commit(const std::vector<ledger::Write>& batch);
 
   Micros clockToWall_;
@@ -55,15 +65,15 @@
   std::string file_;
   MDB_env* env_ = nullptr;
   unsigned table_ = 0;
-  LoadResult found_;
-  mutable std::mutex mutex_;
-  std::condition_variable ready_;
+  LoadResult loadResult_;
+  mutable std::mutex mutex_;  // guards the members up to stop_
+  std::condition_variable workAvailable_;
   std::vector<ledger::Write> queue_;
   ledger::Seq durable_ = 0;
   std::uint64_t commits_ = 0;
   bool failed_ = false;
   bool stop_ = false;
-  Micros swept_ = 0;
+  Micros lastExpirySweep_ = 0;  // UTC
   std::thread thread_;
 };
 
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -1,3 +1,4 @@
+// Tests of the ledger's LMDB store: durability over a restart and quarantine of damaged files.
 #include <catch2/catch.hpp>
 #include <chrono>
 #include <filesystem>
@@ -10,70 +11,75 @@
 
 namespace {
 
+// A temporary folder, removed with its contents at the end of the test.
 struct Folder {
   std::string path;
   Folder() {
-    std::string made = std::filesystem::temp_directory_path() / "lupinsill-store-XXXXXX";
-    path = mkdtemp(made.data());
+    std::string pattern = std::filesystem::temp_directory_path() / "lupinsill-store-XXXXXX";
+    path = mkdtemp(pattern.data());
   }
   ~Folder() { std::filesystem::remove_all(path); }
 };
 
-void put(store::Store& s, ledger::Seq seq, const std::string& key, ledger::RecordState mark) {
-  s.write({{seq, {ledger::digestOf(key), mark, 5'000'000'000'000'000}}});
-  for (int i = 0; i < 500 && s.durable() < seq; ++i)
+// Writes a record and waits until it is durable, at most 2.5 s.
+void put(store::Store& ledgerStore, ledger::Seq seq, const std::string& key, ledger::RecordState state) {
+  ledgerStore.write({{seq, {ledger::digestOf(key), state, 5'000'000'000'000'000}}});
+  for (int i = 0; i < 500 && ledgerStore.durable() < seq; ++i)
     std::this_thread::sleep_for(std::chrono::milliseconds(5));
-  REQUIRE(s.durable() >= seq);
+  REQUIRE(ledgerStore.durable() >= seq);
 }
 
 }  // namespace
 
-TEST_CASE("What is durable is there after a restart; what was refused is not") {
+TEST_CASE("Durable records survive a restart; refused ones are deleted") {
   const Folder folder;
   const std::string file = folder.path + "/l.mdb";
   {
-    store::Store s(file, 4, 0, [] {});
-    CHECK(s.loadResult().intact);
-    put(s, 1, "a", ledger::RecordState::intent);
-    put(s, 2, "b", ledger::RecordState::intent);
-    put(s, 3, "b", ledger::RecordState::refused);
+    store::Store ledgerStore(file, 4, 0, [] {});
+    CHECK(ledgerStore.loadResult().intact);
+    put(ledgerStore, 1, "a", ledger::RecordState::intent);
+    put(ledgerStore, 2, "b", ledger::RecordState::intent);
+    put(ledgerStore, 3, "b", ledger::RecordState::refused);
   }
-  // LMDB wants a file open once a process: a look at it comes from the outside, or before.
+  // LMDB allows a file to be open only once in a process, so it is inspected while no store has it open.
   CHECK(store::readRecords(file).records.size() == 1);
-  store::Store s(file, 4, 0, [] {});
-  CHECK(s.loadResult().intact);
-  REQUIRE(s.loadResult().records.size() == 1);
-  CHECK(s.loadResult().records[0].key == ledger::digestOf("a"));
+  store::Store ledgerStore(file, 4, 0, [] {});
+  CHECK(ledgerStore.loadResult().intact);
+  REQUIRE(ledgerStore.loadResult().records.size() == 1);
+  CHECK(ledgerStore.loadResult().records[0].key == ledger::digestOf("a"));
 }
 
-TEST_CASE("A damaged file is set aside, told as not whole, and never taken for an empty one") {
+// Treating a damaged ledger as an empty one would let a paid request that already ran be run a second time.
+TEST_CASE("A damaged file is quarantined and reported as not intact, never treated as an empty ledger") {
   const Folder folder;
   const std::string file = folder.path + "/l.mdb";
   {
-    store::Store s(file, 4, 0, [] {});
-    put(s, 1, "a", ledger::RecordState::played);
-    put(s, 2, "b", ledger::RecordState::intent);
+    store::Store ledgerStore(file, 4, 0, [] {});
+    put(ledgerStore, 1, "a", ledger::RecordState::played);
+    put(ledgerStore, 2, "b", ledger::RecordState::intent);
   }
-  SECTION("overwritten from the start") {
+  SECTION("start of the file overwritten") {
     std::ofstream(file, std::ios::in | std::ios::binary) << std::string(9000, 'x');
   }
-  SECTION("cut short") { std::filesystem::resize_file(file, 100); }
-  SECTION("a bit turned in a record") {
-    std::fstream f(file, std::ios::in | std::ios::out | std::ios::binary);
-    std::string all((std::istreambuf_iterator<char>(f)), std::istreambuf_iterator<char>());
+  SECTION("file truncated") { std::filesystem::resize_file(file, 100); }
+  SECTION("one bit flipped in a record") {
+    std::fstream stream(file, std::ios::in | std::ios::out | std::ios::binary);
+    std::string contents((std::istreambuf_iterator<char>(stream)), std::istreambuf_iterator<char>());
+    constexpr std::size_t stateOffset = 17;  // of the record state, from the start of the key
     const ledger::Digest key = ledger::digestOf("a");
-    const std::string name(reinterpret_cast<const char*>(key.bytes.data()), 16);
-    for (std::size_t at = all.find(name); at != std::string::npos; at = all.find(name, at + 1)) {
-      f.clear();
-      f.seekp(static_cast<std::streamoff>(at + 17));
-      f.put(static_cast<char>(all[at + 17] ^ 1));
+    const std::string keyBytes(reinterpret_cast<const char*>(key.bytes.data()), 16);
+    for (std::size_t at = contents.find(keyBytes); at != std::string::npos;
+         at = contents.find(keyBytes, at + 1)) {
+      stream.clear();
+      stream.seekp(static_cast<std::streamoff>(at + stateOffset));
+      stream.put(static_cast<char>(contents[at + stateOffset] ^ 1));
     }
   }
-  store::Store s(file, 4, 0, [] {});
-  CHECK_FALSE(s.loadResult().intact);
-  bool aside = false;
+  store::Store ledgerStore(file, 4, 0, [] {});
+  CHECK_FALSE(ledgerStore.loadResult().intact);
+  bool quarantined = false;
   for (const auto& entry : std::filesystem::directory_iterator(folder.path))
-    aside = aside || entry.path().string().find(".damaged-") != std::string::npos;
-  CHECK(aside);
-  put(s, 1, "c", ledger::RecordState::intent);
+    quarantined = quarantined || entry.path().string().find(".damaged-") != std::string::npos;
+  CHECK(quarantined);
+  put(ledgerStore, 1, "c", ledger::RecordState::intent);
 }
