--- a/src/settings/deployment.h
+++ b/src/settings/deployment.h
@@ -56,8 +56,8 @@
   std::string listFile;         // the list of media nodes
   std::string listCacheFile;    // copy of the last applied list, used at the next start
   Micros listPollInterval = 0;  // between checks whether the list file has changed
-  double minRetainedShare =
-      0;  // share of the ready nodes a list must name for omitted ones to be removed at once
+  // A list that omits more than the rest of the ready nodes removes them only after confirmation.
+  double minRetainedShare = 0;
   std::string ticketKeyFile;  // if empty, a key is generated at each start
   Micros ticketValid = 0;     // lifetime of tickets
   std::string ledgerFile;     // if empty, records are kept in memory only
--- a/src/ticket/ticket.h
+++ b/src/ticket/ticket.h
@@ -1,6 +1,8 @@
-// What a player shows the media node to be let in: subscription, node, rung and expiry under a keyed MAC
-// (libsodium's crypto_auth). Form: base64url(payload) "." base64url(mac); the payload is
-// "subscription|node|rung|expiry in UTC seconds". Checked in constant time.
+// Tickets: bearer tokens that admit a player to a media node. A ticket states subscription, node, rung and
+// expiry, authenticated by a MAC (libsodium's crypto_auth).
+//
+// Format: base64url(payload) "." base64url(mac), without padding; the payload is
+// "subscription|node|rung|expiry in UTC seconds". MACs are verified in constant time.
 #pragma once
 
 #include <array>
@@ -14,24 +16,35 @@
 
 using Key = std::array<unsigned char, 32>;
 
+// What a ticket states.
 struct Claims {
   std::string subscription;
-  std::string node;
+  std::string node;  // host:port
   int rung = 0;
   std::int64_t expires = 0;  // UTC seconds
 };
 
+// A random key.
 Key generateKey();
-// Keys in force, the newest first: it signs, all of them check. While a key is rotated both stand here, so
-// that tickets of the old one live out their time.
+// The keys in use, newest first. The first signs; all of them verify. During a key rotation the previous key
+// is still listed, so that tickets signed with it stay valid until they expire.
 using KeyRing = std::vector<Key>;
-// One key a line, 64 hex digits each, one to four of them. Throws std::runtime_error naming file and line.
+// Reads one to four keys, one per line of 64 hex digits. Throws std::runtime_error naming file and line.
 KeyRing readKeys(const std::string& file);
+// Makes a ticket.
 std::string sign(const Key& key, const Claims& claims);
 
-enum class Verdict { valid, malformed, forged, expired, wrongNode };
+enum class Verdict {
+  valid,
+  malformed,  // not a ticket
+  forged,     // no key in use matches the MAC
+  expired,
+  wrongNode  // valid only at another node
+};
+// The name used in output and statistics.
 const char* nameOf(Verdict verdict);
-// `atNode`: the host:port it was shown at; a good ticket for another one is foreign there. Empty: any.
+// Verifies a ticket presented at the node `atNode` (host:port; empty to accept a ticket for any node).
+// `claims` is set unless the ticket is malformed or forged.
 Verdict verify(const KeyRing& keys, std::string_view ticket, std::int64_t nowSeconds, Claims& claims,
                std::string_view atNode = {});
 
