--- a/src/settings/deployment.cpp
+++ b/src/settings/deployment.cpp
@@ -14,9 +14,11 @@
 namespace {
 
 constexpr int maxPort = 65535;
-constexpr Micros minListPollInterval = 10'000;        // 10 ms
-constexpr Micros minStallThreshold = 300'000;         // 300 ms
-constexpr Micros defaultTicketLifetime = 60'000'000;  // 60 s, as in the schema
+// Lower limits applied to the settings, in microseconds.
+constexpr int minListPollIntervalUs = 10'000;
+constexpr int minStallThresholdUs = 300'000;
+// Used without a <tickets> element; the schema's default for its attribute `valid`.
+constexpr Micros defaultTicketLifetime = 60'000'000;  // 60 s
 
 // The schema has checked the form of all attributes that are read here.
 double numberOf(const Element& element, const char* name) {
@@ -160,7 +162,7 @@
   const Element& list = *root.child("list");
   deployment.listFile = resolvePath(file, list.text("file"));
   deployment.listCacheFile = resolvePath(file, list.text("kept-as"));
-  deployment.listPollInterval = std::max(minListPollInterval, durationOf(list, "look-every"));
+  deployment.listPollInterval = std::max<Micros>(minListPollIntervalUs, durationOf(list, "look-every"));
   deployment.minRetainedShare = numberOf(list, "least-kept");
   if (const Element* tickets = root.child("tickets")) {
     deployment.ticketKeyFile = resolvePath(file, tickets->text("key-file"));
@@ -204,7 +206,8 @@
   control.cancelling = booleanOf(answers, "call-off");
   deployment.sessionLimits.orphanTimeout = durationOf(answers, "orphan-hold");
   deployment.sessionLimits.keyRetention = durationOf(answers, "key-memory");
-  deployment.sessionLimits.stallThreshold = std::max(minStallThreshold, durationOf(answers, "standstill"));
+  deployment.sessionLimits.stallThreshold =
+      std::max<Micros>(minStallThresholdUs, durationOf(answers, "standstill"));
 
   readRoomTypes(file, *root.child("room-types"), deployment);
   if (const Element* tenants = root.child("tenants"))
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -57,11 +57,10 @@
   std::memcpy(&checksum, bytes + checksumOffset, sizeof checksum);
   constexpr auto firstState = static_cast<std::uint8_t>(ledger::RecordState::intent);
   constexpr auto lastState = static_cast<std::uint8_t>(ledger::RecordState::refused);
-  const std::uint8_t state = bytes[stateOffset];
-  if (bytes[0] != formatVersion || state < firstState || state > lastState ||
+  if (bytes[0] != formatVersion || bytes[stateOffset] < firstState || bytes[stateOffset] > lastState ||
       checksum != checksumOf(record.key, bytes))
     return false;
-  record.mark = static_cast<ledger::RecordState>(state);
+  record.mark = static_cast<ledger::RecordState>(bytes[stateOffset]);
   Micros expiry = 0;
   std::memcpy(&expiry, bytes + expiryOffset, sizeof expiry);
   record.until = expiry - clockToWall;
