--- a/src/media/nodes.cpp
+++ b/src/media/nodes.cpp
@@ -16,7 +16,7 @@
   MessageParser parser;
   bool connected = false;
   bool closed = false;
-  Micros since = 0;  // start of the connection attempt, then time of the last bytes sent or received
+  Micros lastActivity = 0;  // start of the connection attempt, then the last bytes sent or received
   long long cseq = 0;
   struct PendingRequest {
     session::JoinId joinId;
@@ -171,7 +171,7 @@
   if (!body.empty()) message.headers.emplace_back("Content-Type", "text/parameters");
   message.body = body;
   connection.inFlight[cseq] = {join.command.join, step};
-  connection.since = net::monotonicNow();
+  connection.lastActivity = net::monotonicNow();
   const std::string bytes = message.serialize();
   evbuffer_add(bufferevent_get_output(connection.bufferEvent.get()), bytes.data(), bytes.size());
 }
@@ -226,7 +226,7 @@
   connection.node = endpoint.node;
   connection.host = endpoint.host;
   connection.port = endpoint.port;
-  connection.since = net::monotonicNow();
+  connection.lastActivity = net::monotonicNow();
   connection.bufferEvent = connect_(base_, endpoint.host, endpoint.port);
   ++statistics_.connects;
   if (!connection.bufferEvent) {
@@ -245,7 +245,7 @@
   if (connection.closed) return;
   if (events & BEV_EVENT_CONNECTED) {
     connection.connected = true;
-    connection.since = net::monotonicNow();
+    connection.lastActivity = net::monotonicNow();
     const std::vector<session::JoinId> readyJoins = std::move(connection.waitingJoins);
     connection.waitingJoins.clear();
     for (const session::JoinId joinId : readyJoins)
@@ -279,9 +279,9 @@
 void Nodes::tick(Micros now) {
   for (auto& [node, connection] : connections_) {
     if (connection->closed) continue;
-    if (!connection->connected && now - connection->since > limits_.connect) {
+    if (!connection->connected && now - connection->lastActivity > limits_.connect) {
       closeConnection(*connection, true);
-    } else if (connection->connected && now - connection->since > limits_.idleClose &&
+    } else if (connection->connected && now - connection->lastActivity > limits_.idleClose &&
                connection->inFlight.empty()) {
       bool used = false;
       for (const auto& [joinId, join] : joins_) used = used || join.connection == connection.get();
@@ -306,7 +306,7 @@
   evbuffer* input = bufferevent_get_input(connection.bufferEvent.get());
   std::string bytes(evbuffer_get_length(input), '\0');
   evbuffer_remove(input, bytes.data(), bytes.size());
-  connection.since = net::monotonicNow();
+  connection.lastActivity = net::monotonicNow();
   connection.parser.feed(bytes);
   try {
     while (!connection.closed) {
@@ -331,7 +331,7 @@
   connection.inFlight.erase(pending);
   const auto it = joins_.find(request.joinId);
   if (it == joins_.end()) {
-    // The join was torn down in the meantime; its TEARDOWN has been sent.
+    // The join has ended in the meantime, and TEARDOWN was sent for it.
     if (request.step != Connection::PendingRequest::Step::other) ++statistics_.lateResponses;
     return;
   }
--- a/src/media/rtsp.cpp
+++ b/src/media/rtsp.cpp
@@ -42,6 +42,7 @@
     position = end + 2;
     if (isFirstLine) {
       isFirstLine = false;
+      // A status line is "RTSP/2.0", a status of three digits and a reason phrase, separated by spaces.
       if (line.starts_with("RTSP/2.0 ")) {
         message.status = static_cast<int>(parseInteger(line.substr(9, 3), -1));
         if (message.status < 100 || message.status > 599 || (line.size() > 12 && line[12] != ' '))
