--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -47,7 +47,7 @@
   const store::LoadResult stands = store::readRecords(file);
   for (const ledger::Record& record : stands.records) {
     for (const unsigned char byte : record.key.bytes) std::printf("%02x", byte);
-    std::printf(" %-12s %lld\n", ledger::nameOf(record.mark),
+    std::printf(" %-12s %lld\n", ledger::nameOf(record.state),
                 static_cast<long long>(record.until / 1'000'000));
   }
   return stands.intact ? 0 : complain(found, file + ": " + stands.error);
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -39,7 +39,7 @@
 EncodedRecord encode(const ledger::Record& record, Micros clockToWall) {
   EncodedRecord value;
   value.bytes[0] = formatVersion;
-  value.bytes[stateOffset] = static_cast<std::uint8_t>(record.mark);
+  value.bytes[stateOffset] = static_cast<std::uint8_t>(record.state);
   const Micros expiry = record.until + clockToWall;
   std::memcpy(value.bytes + expiryOffset, &expiry, sizeof expiry);
   const std::uint64_t checksum = checksumOf(record.key, value.bytes);
@@ -60,7 +60,7 @@
   if (bytes[0] != formatVersion || bytes[stateOffset] < firstState || bytes[stateOffset] > lastState ||
       checksum != checksumOf(record.key, bytes))
     return false;
-  record.mark = static_cast<ledger::RecordState>(bytes[stateOffset]);
+  record.state = static_cast<ledger::RecordState>(bytes[stateOffset]);
   Micros expiry = 0;
   std::memcpy(&expiry, bytes + expiryOffset, sizeof expiry);
   record.until = expiry - clockToWall;
@@ -210,7 +210,7 @@
   int rc = 0;
   for (const ledger::Write& write : batch) {
     MDB_val key{keyBytes, const_cast<unsigned char*>(write.record.key.bytes.data())};
-    if (write.record.mark == ledger::RecordState::refused) {
+    if (write.record.state == ledger::RecordState::refused) {
       rc = mdb_del(txn, table_, &key, nullptr);
       if (rc == MDB_NOTFOUND) rc = 0;
     } else {
