--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -34,7 +34,7 @@
 
 settings::Endpoint parseEndpoint(const std::string& text) {
   const std::size_t colon = text.rfind(':');
-  if (colon == std::string::npos) throw settings::BadSettings(text + ": expected host:port");
+  if (colon == std::string::npos) throw settings::SettingsError(text + ": expected host:port");
   return {text.substr(0, colon), std::atoi(text.c_str() + colon + 1)};
 }
 
--- a/src/director/director.cpp
+++ b/src/director/director.cpp
@@ -227,7 +227,7 @@
   createAnswerTimeHistograms();
   setUpLog(deployment_.logLevel, deployment_.logForm, deployment_.name);
   startedAt_ = net::monotonicNow();
-  ticketKeys_ = deployment_.ticketKeyFile.empty() ? ticket::KeyRing{ticket::freshKey()}
+  ticketKeys_ = deployment_.ticketKeyFile.empty() ? ticket::KeyRing{ticket::generateKey()}
                                                   : ticket::readKeys(deployment_.ticketKeyFile);
   if (deployment_.ticketKeyFile.empty())
     log(Level::warn, "tickets-unshared", {{"why", "no key-file: a random key is used for this run only"}});
@@ -237,7 +237,8 @@
   // The list saved by the previous run is loaded first, because the list file may be unavailable.
   try {
     const Micros offset = net::monotonicNow() - net::wallNow();
-    front_.listUpdated(membership_.restore(settings::readNodes(deployment_.keptAs, deployment_, offset)));
+    front_.listUpdated(
+        membership_.restore(settings::readNodes(deployment_.listCacheFile, deployment_, offset)));
     log(Level::info, "list-kept",
         {{"version", std::to_string(membership_.version())},
          {"nodes", std::to_string(membership_.endpoints().size())}});
@@ -306,7 +307,7 @@
     log(Level::info, "ledger", {{"records", std::to_string(found.records.size())}});
   else
     log(Level::error, "ledger-damaged",
-        {{"why", found.complaint},
+        {{"why", found.error},
          {"kept", std::to_string(found.records.size())},
          {"so", "repeats of paid requests are answered as if they had run"}});
 }
--- a/tests/director_test.cpp
+++ b/tests/director_test.cpp
@@ -195,7 +195,7 @@
 // A media node that accepts one connection and is driven by the test.
 struct Node {
   int listener, fd = -1, port;
-  media::Reader reader;
+  media::MessageParser reader;
   Node() {
     listener = socket(AF_INET, SOCK_STREAM, 0);
     sockaddr_in at{};
@@ -241,7 +241,7 @@
     send(reply);
   }
   void send(const media::Message& message) const {
-    const std::string bytes = message.bytes();
+    const std::string bytes = message.serialize();
     ::send(fd, bytes.data(), bytes.size(), MSG_NOSIGNAL);
   }
 };
@@ -468,7 +468,7 @@
   CHECK(d.end(SIGKILL) == -SIGKILL);
   close(node.fd);
   node.fd = -1;
-  node.reader = media::Reader();
+  node.reader = media::MessageParser();
   d.start();
   loop.join();
   REQUIRE(player.results == 1);
@@ -725,7 +725,7 @@
   CHECK(d.end(SIGKILL) == -SIGKILL);
   close(node.fd);
   node.fd = -1;
-  node.reader = media::Reader();
+  node.reader = media::MessageParser();
   d.start();
   RawClient secondPlayer(d.players);
   secondPlayer.openWebSocket();
--- a/tests/messages_test.cpp
+++ b/tests/messages_test.cpp
@@ -77,25 +77,25 @@
     "Tickets that are valid, forged, signed with another key, for another node, expired or malformed are "
     "told apart") {
   REQUIRE(sodium_init() >= 0);
-  const ticket::Key key = ticket::freshKey(), otherKey = ticket::freshKey();
+  const ticket::Key key = ticket::generateKey(), otherKey = ticket::generateKey();
   const std::string signedTicket = ticket::sign(key, {"d1-17", "127.0.0.1:9000", 3, 1000});
   ticket::Claims claims;
-  CHECK(ticket::check({key}, signedTicket, 1000, claims) == ticket::Verdict::good);
+  CHECK(ticket::verify({key}, signedTicket, 1000, claims) == ticket::Verdict::valid);
   CHECK(claims.subscription == "d1-17");
   CHECK(claims.rung == 3);
-  CHECK(ticket::check({key}, signedTicket, 1001, claims) == ticket::Verdict::expired);
-  CHECK(ticket::check({otherKey}, signedTicket, 1000, claims) == ticket::Verdict::forged);
-  CHECK(ticket::check({key}, signedTicket, 1000, claims, "elsewhere:1") == ticket::Verdict::foreign);
-  CHECK(ticket::check({key}, signedTicket, 9999, claims, "elsewhere:1") == ticket::Verdict::foreign);
+  CHECK(ticket::verify({key}, signedTicket, 1001, claims) == ticket::Verdict::expired);
+  CHECK(ticket::verify({otherKey}, signedTicket, 1000, claims) == ticket::Verdict::forged);
+  CHECK(ticket::verify({key}, signedTicket, 1000, claims, "elsewhere:1") == ticket::Verdict::wrongNode);
+  CHECK(ticket::verify({key}, signedTicket, 9999, claims, "elsewhere:1") == ticket::Verdict::wrongNode);
   // During a key rotation tickets of both the old and the new key are valid.
-  CHECK(ticket::check({otherKey, key}, signedTicket, 1000, claims) == ticket::Verdict::good);
-  CHECK(ticket::check({otherKey, key}, ticket::sign(otherKey, {"d1-18", "", 0, 1000}), 1000, claims) ==
-        ticket::Verdict::good);
+  CHECK(ticket::verify({otherKey, key}, signedTicket, 1000, claims) == ticket::Verdict::valid);
+  CHECK(ticket::verify({otherKey, key}, ticket::sign(otherKey, {"d1-18", "", 0, 1000}), 1000, claims) ==
+        ticket::Verdict::valid);
   for (std::size_t i = 0; i < signedTicket.size(); ++i) {
     std::string tampered = signedTicket;
     tampered[i] = tampered[i] == 'A' ? 'B' : 'A';
-    CHECK(ticket::check({key}, tampered, 1000, claims) != ticket::Verdict::good);
+    CHECK(ticket::verify({key}, tampered, 1000, claims) != ticket::Verdict::valid);
   }
-  CHECK(ticket::check({key}, "", 1000, claims) == ticket::Verdict::malformed);
-  CHECK(ticket::check({key}, ".", 1000, claims) == ticket::Verdict::malformed);
+  CHECK(ticket::verify({key}, "", 1000, claims) == ticket::Verdict::malformed);
+  CHECK(ticket::verify({key}, ".", 1000, claims) == ticket::Verdict::malformed);
 }
