--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -47,25 +47,25 @@
 }
 
 int listLedger(const std::string& file) {
-  const store::Found contents = store::list(file);
+  const store::LoadResult contents = store::readRecords(file);
   for (const ledger::Record& record : contents.records) {
     for (const unsigned char byte : record.key.bytes) std::printf("%02x", byte);
     std::printf(" %-12s %lld\n", ledger::nameOf(record.state),
                 static_cast<long long>(record.until / 1'000'000));
   }
-  return contents.whole ? 0 : fail(exitFaultFound, file + ": " + contents.complaint);
+  return contents.intact ? 0 : fail(exitFaultFound, file + ": " + contents.error);
 }
 
 int checkTicket(const std::string& keyFile, const std::string& node, const std::string& text) {
   ticket::Claims claims;
   const ticket::Verdict verdict =
-      ticket::check(ticket::readKeys(keyFile), text, net::wallNow() / 1'000'000, claims, node);
+      ticket::verify(ticket::readKeys(keyFile), text, net::wallNow() / 1'000'000, claims, node);
   std::printf("%s", ticket::nameOf(verdict));
   if (!claims.subscription.empty())
     std::printf(" subscription=%s node=%s rung=%d expires=%lld", claims.subscription.c_str(),
                 claims.node.c_str(), claims.rung, static_cast<long long>(claims.expires));
   std::printf("\n");
-  return verdict == ticket::Verdict::good ? 0 : exitFaultFound;
+  return verdict == ticket::Verdict::valid ? 0 : exitFaultFound;
 }
 
 int runLab(const lab::RunOptions& options) {
@@ -313,7 +313,7 @@
       return 0;
     }
     if (configShowCommand->parsed()) {
-      std::fputs(settings::shown(file).c_str(), stdout);
+      std::fputs(settings::formatWithDefaults(file).c_str(), stdout);
       return 0;
     }
     if (ticketCheckCommand->parsed()) return checkTicket(keyFile, atNode, ticketText);
@@ -350,7 +350,7 @@
         return fail(exitUsage, "--plant " + labRunOptions.plant + ": see `lupinsill lab plants`");
       return runLab(labRunOptions);
     }
-  } catch (const settings::BadSettings& error) {
+  } catch (const settings::SettingsError& error) {
     return fail(exitUsage, error.what());
   } catch (const control_settings::InvalidInput& error) {
     return fail(exitUsage, error.what());
--- a/src/director/director.cpp
+++ b/src/director/director.cpp
@@ -155,7 +155,7 @@
 }
 
 session::Limits sessionLimits(const settings::Deployment& deployment, const FaultHooks& hooks) {
-  session::Limits limits = deployment.bounds;
+  session::Limits limits = deployment.sessionLimits;
   limits.guardsEnabled = hooks.guardsEnabled;
   limits.keysStored = limits.keysStored && hooks.ledgerEnabled;
   return limits;
@@ -185,7 +185,7 @@
 admission::Limits callLimits(const settings::Deployment& deployment) {
   admission::Limits limits;
   limits.peers = static_cast<std::size_t>(deployment.sockets.connections);
-  limits.maxCallsPerPeer = static_cast<std::size_t>(deployment.sockets.asksPerSocket);
+  limits.maxCallsPerPeer = static_cast<std::size_t>(deployment.sockets.requestsPerSocket);
   limits.requestTimeout = deployment.sockets.handshake;
   return limits;
 }
@@ -216,13 +216,14 @@
       webSocketTls_(makeTls(net::Tls::Side::server, deployment_.playersTls, "http/1.1")),
       grpcTls_(makeTls(net::Tls::Side::server, deployment_.playersTls, "h2")),
       nodesTls_(makeTls(net::Tls::Side::client, deployment_.nodesTls, "")),
-      membership_(deployment_.terms.cells, deployment_.leastKept, deployment_.bounds.grace),
-      front_(deployment_.terms, sessionLimits(deployment_, options.hooks),
-             makeDecider(options, deployment_.terms)),
+      membership_(deployment_.controlSettings.cells, deployment_.minRetainedShare,
+                  deployment_.sessionLimits.grace),
+      front_(deployment_.controlSettings, sessionLimits(deployment_, options.hooks),
+             makeDecider(options, deployment_.controlSettings)),
       nodes_(base_.get(), *this, runId_, deployment_.nodes, connectFunction(nodesTls_.get())),
       requestTranslator_(
           {deployment_.name, deployment_.roomTypes, deployment_.tenants, deployment_.clientTimeouts},
-          deployment_.terms.roomTypes),
+          deployment_.controlSettings.roomTypes),
       callManager_(callLimits(deployment_)) {
   createAnswerTimeHistograms();
   setUpLog(deployment_.logLevel, deployment_.logForm, deployment_.name);
@@ -242,7 +243,7 @@
     log(Level::info, "list-kept",
         {{"version", std::to_string(membership_.version())},
          {"nodes", std::to_string(membership_.endpoints().size())}});
-  } catch (const settings::BadSettings& error) {
+  } catch (const settings::SettingsError& error) {
     log(Level::info, "list-not-kept", {{"why", error.what()}});
     front_.listUpdated({ListKind::cachedSnapshot, {}});
   }
@@ -296,14 +297,14 @@
                                             if (write(fd, &one, sizeof one) < 0)
                                               return;  // counter full: already signalled
                                           });
-  const store::Found& found = store_->found();
+  const store::LoadResult& found = store_->loadResult();
   // A deleted ledger cannot be told from a first start. The ledger therefore counts as lost in both cases, so
   // that declared repeats are treated as possibly run; at a true first start no client sends any.
-  front_.recover(net::monotonicNow(), found.records, found.whole && !found.fresh);
-  if (found.whole && found.fresh)
+  front_.recover(net::monotonicNow(), found.records, found.intact && !found.created);
+  if (found.intact && found.created)
     log(Level::warn, "ledger-new",
         {{"file", deployment_.ledgerFile}, {"so", "declared repeats are answered as if they had run"}});
-  else if (found.whole)
+  else if (found.intact)
     log(Level::info, "ledger", {{"records", std::to_string(found.records.size())}});
   else
     log(Level::error, "ledger-damaged",
@@ -373,7 +374,7 @@
   sendDueActions();
   for (admission::PlayerServer* server : playerServers_) server->tick(now);
   nodes_.tick(now);
-  if (now - lastListCheck_ >= deployment_.lookEvery) checkNodeList(false);
+  if (now - lastListCheck_ >= deployment_.listPollInterval) checkNodeList(false);
   if (ListUpdate update = membership_.confirmRemovals(now); !update.entries.empty()) {
     log(Level::warn, "list-confirmed", {{"gone", std::to_string(update.entries.size())}});
     front_.listUpdated(std::move(update));
@@ -575,7 +576,7 @@
     ++listsApplied_;
     if (!update.entries.empty() || update.kind == ListKind::snapshot) front_.listUpdated(std::move(update));
     persistNodeList(bytes);
-  } catch (const settings::BadSettings& error) {
+  } catch (const settings::SettingsError& error) {
     // The previous list stays in force: an old list is better than none.
     ++listsRejected_;
     listError_ = error.what();
@@ -584,14 +585,14 @@
 }
 
 void Director::persistNodeList(const std::string& bytes) {
-  if (!writeFileAtomically(deployment_.keptAs, bytes))
-    log(Level::error, "list-not-kept", {{"file", deployment_.keptAs}});
+  if (!writeFileAtomically(deployment_.listCacheFile, bytes))
+    log(Level::error, "list-not-kept", {{"file", deployment_.listCacheFile}});
 }
 
 void Director::reload() {
   try {
     settings::Deployment next = settings::readDeployment(options_.settingsFile);
-    const std::vector<std::string> unsafe = settings::unsafeChanges(deployment_, next);
+    const std::vector<std::string> unsafe = settings::changesNeedingRestart(deployment_, next);
     if (!unsafe.empty()) {
       std::string names;
       for (const std::string& name : unsafe) names += (names.empty() ? "" : ", ") + name;
@@ -756,13 +757,13 @@
       {{"", toDouble(nodes.connections)}});
   add("lupinsill_node_connections_total", "Connections to media nodes, by outcome", true,
       {{"opened", toDouble(nodes.connects)},
-       {"failed", toDouble(nodes.connectsFailed)},
-       {"lost", toDouble(nodes.lost)},
-       {"bad-bytes", toDouble(nodes.badBytes)},
-       {"stuck", toDouble(nodes.stuck)}},
+       {"failed", toDouble(nodes.connectFailures)},
+       {"lost", toDouble(nodes.connectionsLost)},
+       {"bad-bytes", toDouble(nodes.parseErrors)},
+       {"stuck", toDouble(nodes.sendBuffersFull)}},
       "what");
   add("lupinsill_node_late_answers_total", "Answers of media nodes to joins that had timed out", true,
-      {{"", toDouble(nodes.lateAnswers)}});
+      {{"", toDouble(nodes.lateResponses)}});
   add("lupinsill_list_version", "Version of the node list in use", false,
       {{"", toDouble(membership_.version())}});
   add("lupinsill_list_total", "Node lists read, by outcome", true,
--- a/src/director/director.h
+++ b/src/director/director.h
@@ -2,7 +2,7 @@
 // loop around the session front. All decisions are made by the front; this module only passes events in and
 // carries out the commands that come back.
 //
-// Errors at start are settings::BadSettings, net::ListenError or std::runtime_error, each with one line of
+// Errors at start are settings::SettingsError, net::ListenError or std::runtime_error, each with one line of
 // text. A director that has started ends only on a signal or at the end of a drain.
 #pragma once
 
--- a/src/grpc/calls.cpp
+++ b/src/grpc/calls.cpp
@@ -12,7 +12,7 @@
   Http2Limits out;
   // Above the call manager's limit, so that a call over that limit is answered with a retry time instead of
   // being refused by HTTP/2, and so that the other methods have streams left.
-  out.streams = static_cast<std::size_t>(limits.asksPerSocket) + extraStreams;
+  out.streams = static_cast<std::size_t>(limits.requestsPerSocket) + extraStreams;
   out.unsentBytes = limits.unsentBytes;
   out.handshake = limits.handshake;
   out.pingEvery = limits.pingEvery;
--- a/src/history/play.cpp
+++ b/src/history/play.cpp
@@ -221,7 +221,7 @@
   std::unique_ptr<session::Decider> decider = d.hooks.makeDecider
                                                   ? d.hooks.makeDecider(terms, seed)
                                                   : std::make_unique<session::ControlDecider>(terms, seed);
-  d.list = std::make_unique<fleet::Membership>(terms.cells, h_.deployment.leastKept, bounds.grace);
+  d.list = std::make_unique<fleet::Membership>(terms.cells, h_.deployment.minRetainedShare, bounds.grace);
   d.front = std::make_unique<session::Front>(terms, bounds, std::move(decider));
   d.reception = std::make_unique<admission::RequestTranslator>(
       admission::RequestTranslator::Names{"d" + std::to_string(d.place), h_.deployment.roomTypes,
