--- a/src/simulator/codec.h
+++ b/src/simulator/codec.h
@@ -1,4 +1,7 @@
-// The wire of the drill: JSON in and out. Its names and its nanoseconds end here.
+// Converts between the JSON messages of the operators' simulator and the events and actions of the decision
+// module. Each message is an array that starts with its name; field positions and names are fixed by the
+// simulator. Times are nanoseconds in JSON and microseconds in C++. Invalid input throws InvalidInput, which
+// names the field.
 #pragma once
 
 #include <cstdint>
@@ -14,27 +17,30 @@
 using control_settings::Json;
 using control_settings::Names;
 
-// One message: its name and its values in the order of the wire, with typed access that says what is wrong.
+// Read access to one message by field position. Holds a reference to the array that it was made from.
 class Message {
  public:
   explicit Message(const Json& array);
   const std::string& name() const { return name_; }
-  const Json& value(std::size_t place) const;
-  std::int64_t whole(std::size_t place, const char* what) const;
-  std::string text(std::size_t place, const char* what) const;
+  // JSON null when the message has no such field.
+  const Json& value(std::size_t index) const;
+  std::int64_t integer(std::size_t index, const char* fieldName) const;
+  std::string text(std::size_t index, const char* fieldName) const;
 
  private:
   const Json& array_;
   std::string name_;
 };
 
-Micros clockOf(const Json& nanos);
-ListKind listKindOf(const std::string& word);
-std::vector<ListEntry> entriesOf(const Json& rows, const Names& names);
-void checkRows(const Json& rows);
+Micros parseWallClock(const Json& nanos);
+ListKind parseListKind(const std::string& text);
+// Parses the rows of a node list; `names` resolves node kinds.
+std::vector<ListEntry> parseListEntries(const Json& rows, const Names& names);
+// Throws InvalidInput unless the rows are a valid node list.
+void validateListEntries(const Json& rows);
 bool isKnownEvent(const std::string& name);
-// An event of the instance, or nothing where the module has no use for it.
-std::vector<Event> eventOf(const Message& message, const Names& names);
-Json wireOf(std::int64_t instance, const Action& action);
+// At most one event; empty for messages that the decision module does not use.
+std::vector<Event> parseEvents(const Message& message, const Names& names);
+Json serializeAction(std::int64_t instanceId, const Action& action);
 
 }  // namespace lupinsill::simulator
--- a/src/simulator/host.h
+++ b/src/simulator/host.h
@@ -1,4 +1,5 @@
-// Hosts the instances of one process: each has a module and names of its own, and they share nothing.
+// Runs any number of decision modules for the operators' simulator in one process. Each instance has its own
+// module and names; node lists that the simulator has stored in a numbered buffer are available to all.
 #pragma once
 
 #include <array>
@@ -12,19 +13,20 @@
 
 class Host {
  public:
-  // Plays one batch and returns the reply's line; throws InvalidInput on what the wire does not allow.
-  std::string play(const std::string& line);
+  // Handles one batch, a JSON object on one line, and returns the reply without a line end. Throws
+  // InvalidInput when the batch is not valid.
+  std::string handleBatch(const std::string& line);
 
  private:
   struct Instance {
     Names names;
     Control control;
-    std::vector<Event> turn;  // what this batch holds for it so far
+    std::vector<Event> pendingEvents;  // of the current batch, given to the module together at its end
   };
-  void play(const Json& message);
+  void handleMessage(const Json& message);
 
   std::map<std::int64_t, Instance> instances_;
-  std::array<Json, 16> pages_;
+  std::array<Json, 16> listBuffers_;  // node lists by buffer number
 };
 
 }  // namespace lupinsill::simulator
--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -1,4 +1,5 @@
-// lupinsill_drill: the decision module on the wire of the operators' bench, one batch a line.
+// lupinsill_drill: connects the decision module to the operators' simulator. Reads one batch a line from
+// standard input and writes one reply a line to standard output; exits with 1 at the first invalid batch.
 #include <exception>
 #include <iostream>
 #include <string>
@@ -10,12 +11,12 @@
   std::cin.tie(nullptr);
   lupinsill::simulator::Host host;
   std::string line;
-  for (std::size_t number = 1; std::getline(std::cin, line); ++number) {
+  for (std::size_t lineNumber = 1; std::getline(std::cin, line); ++lineNumber) {
     if (line.empty()) continue;
     try {
-      std::cout << host.play(line) << '\n' << std::flush;
+      std::cout << host.handleBatch(line) << '\n' << std::flush;
     } catch (const std::exception& e) {
-      std::cerr << "lupinsill_drill: line " << number << ": " << e.what() << std::endl;
+      std::cerr << "lupinsill_drill: line " << lineNumber << ": " << e.what() << std::endl;
       return 1;
     }
   }
