--- a/src/audit/audit.cpp
+++ b/src/audit/audit.cpp
@@ -13,34 +13,34 @@
 
 std::string ms(Micros t) { return std::to_string(t / 1000) + " ms"; }
 
-void broke(Row& row, const std::string& words) {
-  ++row.broken;
-  if (row.first.size() < shownMost) row.first.push_back(words);
+void broke(RuleResult& row, const std::string& words) {
+  ++row.violations;
+  if (row.firstViolations.size() < shownMost) row.firstViolations.push_back(words);
 }
 
 int placeOf(const std::string& director) { return std::atoi(director.c_str() + 1); }  // "d3-..." is place 3
 
-bool unsafe(const Statistics& f, int roomType) {
-  return f.terms.roomTypes[static_cast<std::size_t>(roomType)].effect != Effect::repeatable;
+bool unsafe(const CheckSettings& f, int roomType) {
+  return f.controlSettings.roomTypes[static_cast<std::size_t>(roomType)].effect != Effect::repeatable;
 }
 
-Row oneAnswer(const Record& record, const Statistics& f) {
-  Row row{"1 one answer", 0, 0, "", {}};
+RuleResult oneAnswer(const Record& record, const CheckSettings& f) {
+  RuleResult row{"1 one answer", 0, 0, "", {}};
   Micros nearest = 3'600'000'000;
-  for (const AskSeen& ask : record.asks) {
+  for (const RequestObservation& ask : record.requests) {
     // Whether a mute player was answered cannot be seen; what it did hear counts as anybody's.
-    if (ask.mute && ask.answers.empty()) continue;
+    if (ask.neverReads && ask.answers.empty()) continue;
     Micros deadline = ask.at + ask.timeout;
     // One that was stopped answers when it goes on.
-    for (const DirectorStood& stood : record.stood)
+    for (const DirectorStall& stood : record.directorStalls)
       if (stood.director == ask.director && stood.run == ask.run && stood.from <= deadline &&
           stood.to >= ask.at)
         deadline += stood.to - std::max(stood.from, ask.at);
     // A player that goes at its very time-out has not left: it was left.
-    bool excused = ask.closedAt >= 0 && ask.closedAt < deadline && !ask.lostSocket;
+    bool excused = ask.closedAt >= 0 && ask.closedAt < deadline && !ask.connectionLost;
     // What a killed director held is no longer its duty.
-    for (const DirectorDown& down : record.downs)
-      if (down.director == ask.director && down.run == ask.run && down.at <= deadline + f.answerSlack)
+    for (const DirectorKill& down : record.directorKills)
+      if (down.director == ask.director && down.run == ask.run && down.at <= deadline + f.answerTolerance)
         excused = true;
     const std::string who = "ask " + ask.idempotencyKey + " at " + ms(ask.at);
     if (ask.answers.size() > 1) broke(row, who + ": " + std::to_string(ask.answers.size()) + " answers");
@@ -53,16 +53,16 @@
     ++row.tested;
     const Micros left = deadline - ask.answers.front().at;
     nearest = std::min(nearest, left);
-    if (left < -f.answerSlack) broke(row, who + ": answered " + ms(-left) + " after the client timeout");
+    if (left < -f.answerTolerance) broke(row, who + ": answered " + ms(-left) + " after the client timeout");
   }
-  row.nearest = row.tested == 0 ? "-" : ms(nearest) + " before the client timeout";
+  row.closestCase = row.tested == 0 ? "-" : ms(nearest) + " before the client timeout";
   return row;
 }
 
-Row onceOnly(const Record& record, const Statistics& f) {
-  Row row{"2 no set-up twice", 0, 0, "", {}};
-  std::map<std::string, std::vector<const SetUpSeen*>> bySub, byAsk;
-  for (const SetUpSeen& s : record.setUps) {
+RuleResult onceOnly(const Record& record, const CheckSettings& f) {
+  RuleResult row{"2 no set-up twice", 0, 0, "", {}};
+  std::map<std::string, std::vector<const SetUpObservation*>> bySub, byAsk;
+  for (const SetUpObservation& s : record.setUps) {
     bySub[s.subscription].push_back(&s);
     // Without a key no two joins but those of one subscription are known to be one ask's.
     if (unsafe(f, s.roomType))
@@ -74,11 +74,11 @@
     for (std::size_t i = 0; i + 1 < list.size(); ++i) {
       ++row.tested;
       // The earlier join is out until it was answered with a refusal, torn down or lost.
-      const SetUpSeen& a = *list[i];
-      const SetUpSeen& b = *list[i + 1];
+      const SetUpObservation& a = *list[i];
+      const SetUpObservation& b = *list[i + 1];
       const Micros until = a.endedAt < 0 ? b.at + 3'600'000'000 : a.endedAt;
       overlap = std::max(overlap, until - b.at);
-      if (until - b.at > f.orderSlack)
+      if (until - b.at > f.orderTolerance)
         broke(row, "subscription " + sub + ": two joins out at " + ms(b.at) + ", at node " +
                        std::to_string(a.node) + " since " + ms(a.at) + " and at node " +
                        std::to_string(b.node));
@@ -95,36 +95,36 @@
     }
     if (ran > 1) broke(row, "paid ask " + ask + ": set up " + std::to_string(ran) + " times");
   }
-  for (const AskSeen& ask : record.asks) {
+  for (const RequestObservation& ask : record.requests) {
     if (!unsafe(f, ask.roomType)) continue;
     const auto it = byAsk.find(ask.viewer + "/" + ask.idempotencyKey);
-    for (const AskSeen::Answer& answer : ask.answers) {
-      if (answer.kind != AskSeen::Answer::Kind::throttled || it == byAsk.end()) continue;
+    for (const RequestObservation::Answer& answer : ask.answers) {
+      if (answer.kind != RequestObservation::Answer::Kind::throttled || it == byAsk.end()) continue;
       ++row.tested;
-      for (const SetUpSeen* s : it->second)
+      for (const SetUpObservation* s : it->second)
         if (s->at < answer.at && s->refusedAt < 0)
           broke(row, "paid ask " + ask.idempotencyKey + ": throttled at " + ms(answer.at) +
                          " though a join may have run");
     }
   }
-  row.nearest = "overlap of two joins " + ms(std::max<Micros>(0, overlap));
+  row.closestCase = "overlap of two joins " + ms(std::max<Micros>(0, overlap));
   return row;
 }
 
-Row drains(const Record& record, const Statistics& f) {
-  Row row{"3 drains kept", 0, 0, "", {}};
+RuleResult drains(const Record& record, const CheckSettings& f) {
+  RuleResult row{"3 drains kept", 0, 0, "", {}};
   // The words that each director could read of a node, in order: a later `ready` takes an earlier drain back.
-  std::map<NodeId, std::vector<const NodeWord*>> words;
-  for (const NodeWord& w : record.words) words[w.node].push_back(&w);
+  std::map<NodeId, std::vector<const ListedState*>> words;
+  for (const ListedState& w : record.listedStates) words[w.node].push_back(&w);
   for (auto& [node, list] : words)
     std::stable_sort(list.begin(), list.end(),
-                     [](const NodeWord* a, const NodeWord* b) { return a->at < b->at; });
+                     [](const ListedState* a, const ListedState* b) { return a->at < b->at; });
   Micros latest = -3'600'000'000;
   std::set<std::pair<NodeId, Micros>> used;  // a node and its drain, that had joins before it
-  for (const SetUpSeen& s : record.setUps) {
+  for (const SetUpObservation& s : record.setUps) {
     const int director = placeOf(s.director);
     Micros since = -1, next = -1;
-    for (const NodeWord* w : words[s.node]) {
+    for (const ListedState* w : words[s.node]) {
       if (w->director >= 0 && w->director != director) continue;
       if (w->at > s.at) {
         if (w->state != NodeState::ready && next < 0 && since < 0) next = w->at;
@@ -138,31 +138,34 @@
     if (next >= 0) used.emplace(s.node, next), latest = std::max(latest, s.at - next);
     if (since < 0) continue;
     latest = std::max(latest, s.at - since);
-    if (s.at > since + f.listLook + f.grace)
+    if (s.at > since + f.maxListDelay + f.grace)
       broke(row, "node " + std::to_string(s.node) + ": a join " + ms(s.at - since) + " after the word");
   }
   row.tested = used.size();
-  row.nearest = row.tested == 0 ? "-" : "last join " + ms(latest) + " after the word";
+  row.closestCase = row.tested == 0 ? "-" : "last join " + ms(latest) + " after the word";
   return row;
 }
 
-Row cold(const Record& record, const Statistics& f) {
-  Row row{"4 cold pace", 0, 0, "", {}};
+RuleResult cold(const Record& record, const CheckSettings& f) {
+  RuleResult row{"4 cold pace", 0, 0, "", {}};
   double nearest = 0;
   for (const NodeStart& start : record.starts) {
-    if (!start.coldAtAll) continue;
+    if (!start.coldStart) continue;
     std::vector<Micros> at;
-    for (const SetUpSeen& s : record.setUps)
-      if (s.node == start.node && s.at >= start.at && s.at < start.at + f.terms.coldTime) at.push_back(s.at);
+    for (const SetUpObservation& s : record.setUps)
+      if (s.node == start.node && s.at >= start.at && s.at < start.at + f.controlSettings.coldTime)
+        at.push_back(s.at);
     if (at.empty()) continue;
     ++row.tested;
     std::size_t first = 0;
     for (std::size_t last = 0; last < at.size(); ++last) {
-      while (at[last] - at[first] >= f.terms.fallTime) ++first;
-      const double age = static_cast<double>(at[first] - start.at) / static_cast<double>(f.terms.coldTime);
-      const double warmth = f.terms.startCapacity + (1 - f.terms.startCapacity) * std::clamp(age, 0.0, 1.0);
-      const double bears = start.places * warmth * static_cast<double>(f.terms.fallTime) /
-                           static_cast<double>(f.terms.coldTime) * f.terms.overloadFactor;
+      while (at[last] - at[first] >= f.controlSettings.fallTime) ++first;
+      const double age =
+          static_cast<double>(at[first] - start.at) / static_cast<double>(f.controlSettings.coldTime);
+      const double warmth =
+          f.controlSettings.startCapacity + (1 - f.controlSettings.startCapacity) * std::clamp(age, 0.0, 1.0);
+      const double bears = start.places * warmth * static_cast<double>(f.controlSettings.fallTime) /
+                           static_cast<double>(f.controlSettings.coldTime) * f.controlSettings.overloadFactor;
       const auto sent = static_cast<double>(last - first + 1);
       nearest = std::max(nearest, sent / bears);
       // One more for chance: a window may open just before a set-up and close just after one.
@@ -175,29 +178,29 @@
   }
   char text[64];
   std::snprintf(text, sizeof text, "%.0f%% of what one bears", nearest * 100);
-  row.nearest = row.tested == 0 ? "-" : text;
+  row.closestCase = row.tested == 0 ? "-" : text;
   return row;
 }
 
-Row terms(const Record& record, const Statistics& f) {
-  Row row{"5 floors and seats", 0, 0, "", {}};
-  for (const RungSeen& r : record.rungs) {
-    const RoomType& room = f.terms.roomTypes[static_cast<std::size_t>(r.roomType)];
+RuleResult terms(const Record& record, const CheckSettings& f) {
+  RuleResult row{"5 floors and seats", 0, 0, "", {}};
+  for (const RungObservation& r : record.rungs) {
+    const RoomType& room = f.controlSettings.roomTypes[static_cast<std::size_t>(r.roomType)];
     if (room.floor > 0) ++row.tested;
     if (r.rung < room.floor) broke(row, "rung " + std::to_string(r.rung) + " under the floor at " + ms(r.at));
   }
   std::map<std::tuple<std::string, int, std::string>, std::vector<std::pair<Micros, int>>> held;
-  for (const SetUpSeen& s : record.setUps) {
-    if (f.terms.roomTypes[static_cast<std::size_t>(s.roomType)].seats <= 0) continue;
+  for (const SetUpObservation& s : record.setUps) {
+    if (f.controlSettings.roomTypes[static_cast<std::size_t>(s.roomType)].seats <= 0) continue;
     auto& changes = held[{s.director, s.roomType, s.title}];
     changes.emplace_back(s.at, 1);
     // An end counts a little early: the two sockets may have been read in either order.
-    if (s.endedAt >= 0) changes.emplace_back(std::max(s.at, s.endedAt - f.orderSlack), -1);
+    if (s.endedAt >= 0) changes.emplace_back(std::max(s.at, s.endedAt - f.orderTolerance), -1);
   }
   int most = 0, seats = 0;
   for (auto& [key, changes] : held) {
     std::stable_sort(changes.begin(), changes.end());
-    const int limit = f.terms.roomTypes[static_cast<std::size_t>(std::get<1>(key))].seats;
+    const int limit = f.controlSettings.roomTypes[static_cast<std::size_t>(std::get<1>(key))].seats;
     int now = 0;
     bool said = false;
     for (const auto& [at, by] : changes) {
@@ -211,23 +214,23 @@
       }
     }
   }
-  row.nearest = most == 0 ? "-" : std::to_string(most) + " held of " + std::to_string(seats) + " seats";
+  row.closestCase = most == 0 ? "-" : std::to_string(most) + " held of " + std::to_string(seats) + " seats";
   return row;
 }
 
-Row further(const Record& record, const Statistics& f) {
-  Row row{"6 further joins", 0, 0, "", {}};
-  if (!f.terms.retryBudget) {
-    row.nearest = "no budget stated";
+RuleResult further(const Record& record, const CheckSettings& f) {
+  RuleResult row{"6 further joins", 0, 0, "", {}};
+  if (!f.controlSettings.retryBudget) {
+    row.closestCase = "no budget stated";
     return row;
   }
-  const RetryBudget& budget = *f.terms.retryBudget;
+  const RetryBudget& budget = *f.controlSettings.retryBudget;
   std::map<std::string, std::vector<Micros>> again;
   std::map<int, std::vector<Micros>> taken;
   std::set<std::string> seen;
-  for (const SetUpSeen& s : record.setUps)
+  for (const SetUpObservation& s : record.setUps)
     if (!seen.insert(s.subscription).second) again[s.director].push_back(s.at);
-  for (const AskSeen& ask : record.asks) taken[ask.director].push_back(ask.at);
+  for (const RequestObservation& ask : record.requests) taken[ask.director].push_back(ask.at);
   double nearest = 0;
   for (const auto& [director, times] : again) {
     row.tested += times.size();
@@ -246,13 +249,13 @@
   }
   char text[64];
   std::snprintf(text, sizeof text, "%.0f%% of the budget", nearest * 100);
-  row.nearest = row.tested == 0 ? "-" : text;
+  row.closestCase = row.tested == 0 ? "-" : text;
   return row;
 }
 
 }  // namespace
 
-std::vector<Row> check(const Record& record, const Statistics& statistics) {
+std::vector<RuleResult> check(const Record& record, const CheckSettings& statistics) {
   return {oneAnswer(record, statistics), onceOnly(record, statistics), drains(record, statistics),
           cold(record, statistics),      terms(record, statistics),    further(record, statistics)};
 }
--- a/src/audit/audit.h
+++ b/src/audit/audit.h
@@ -9,23 +9,23 @@
 
 namespace lupinsill::audit {
 
-struct Statistics {  // of the deployment, as the rules read them
-  ControlSettings terms;
+struct CheckSettings {  // of the deployment, as the rules read them
+  ControlSettings controlSettings;
   std::vector<Micros> clientTimeouts;
   Micros grace = 0;
-  Micros answerSlack = 0;  // after the client timeout, since the lab shares its machine with all it tests
-  Micros orderSlack = 0;   // two sockets may be read in either order
-  Micros listLook = 0;     // how late a director may see a list that has been published
+  Micros answerTolerance = 0;  // after the client timeout, since the lab shares its machine with all it tests
+  Micros orderTolerance = 0;   // two sockets may be read in either order
+  Micros maxListDelay = 0;     // how late a director may see a list that has been published
 };
 
-struct Row {
+struct RuleResult {
   std::string rule;
   std::size_t tested = 0;
-  std::size_t broken = 0;
-  std::string nearest;
-  std::vector<std::string> first;  // the first few breaches, in words
+  std::size_t violations = 0;
+  std::string closestCase;
+  std::vector<std::string> firstViolations;  // the first few breaches, in words
 };
 
-std::vector<Row> check(const Record& record, const Statistics& statistics);
+std::vector<RuleResult> check(const Record& record, const CheckSettings& statistics);
 
 }  // namespace lupinsill::audit
--- a/src/audit/record.h
+++ b/src/audit/record.h
@@ -12,7 +12,7 @@
 namespace lupinsill::audit {
 
 // A node's view of one SETUP that reached it.
-struct SetUpSeen {
+struct SetUpObservation {
   Micros at = 0;
   NodeId node = 0;
   std::string director;      // one run of one director: a restart is another
@@ -29,7 +29,7 @@
 };
 
 // A player's view of one ask that it sent on an open socket.
-struct AskSeen {
+struct RequestObservation {
   Micros at = 0;
   int director = 0;  // place
   int run = 0;       // which run of that director
@@ -44,47 +44,47 @@
   };
   std::vector<Answer> answers;
   Micros closedAt = -1;  // the player closed, or lost, its socket
-  bool lostSocket = false;
-  bool mute = false;  // it does not read what it is told
+  bool connectionLost = false;
+  bool neverReads = false;  // it does not read what it is told
 };
 
 struct NodeStart {
   NodeId node = 0;
   Micros at = 0;
   int places = 0;
-  bool coldAtAll = false;  // started within the day
+  bool coldStart = false;  // started within the day
 };
-struct NodeWord {  // the list that names it so was published
+struct ListedState {  // the list that names it so was published
   NodeId node = 0;
   Micros at = 0;
   NodeState state = NodeState::ready;
   int director = -1;  // the only one that could read it then; -1: all
 };
-struct DirectorDown {
+struct DirectorKill {
   int director = 0;
   int run = 0;
   Micros at = 0;
 };
-struct DirectorStood {
+struct DirectorStall {
   int director = 0;
   int run = 0;
   Micros from = 0, to = 0;
 };
-struct RungSeen {
+struct RungObservation {
   Micros at = 0;
   int roomType = 0;
   int rung = 0;
 };
 
 struct Record {
-  std::vector<SetUpSeen> setUps;
-  std::vector<AskSeen> asks;
+  std::vector<SetUpObservation> setUps;
+  std::vector<RequestObservation> requests;
   std::vector<NodeStart> starts;
-  std::vector<NodeWord> words;
-  std::vector<DirectorDown> downs;
-  std::vector<DirectorStood> stood;
-  std::vector<RungSeen> rungs;
-  std::vector<std::string> nodesFallen;
+  std::vector<ListedState> listedStates;
+  std::vector<DirectorKill> directorKills;
+  std::vector<DirectorStall> directorStalls;
+  std::vector<RungObservation> rungs;
+  std::vector<std::string> overloadedNodes;
 };
 
 }  // namespace lupinsill::audit
--- a/src/baseline/baseline.cpp
+++ b/src/baseline/baseline.cpp
@@ -107,10 +107,10 @@
 
 }  // namespace
 
-std::vector<std::string> names() { return {"first-open", "random-lowest"}; }
+std::vector<std::string> policyNames() { return {"first-open", "random-lowest"}; }
 
-std::unique_ptr<session::Decider> make(const std::string& name, const ControlSettings& terms,
-                                       std::uint64_t seed) {
+std::unique_ptr<session::Decider> makePolicy(const std::string& name, const ControlSettings& terms,
+                                             std::uint64_t seed) {
   if (name == "first-open") return std::make_unique<Plain>(terms, seed, false);
   if (name == "random-lowest") return std::make_unique<Plain>(terms, seed, true);
   return nullptr;
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -70,7 +70,7 @@
   std::fputs(lab::shown(result).c_str(), stdout);
   if (!options.plant.empty()) {
     const lab::Plant& plant = *lab::findPlant(options.plant);
-    const bool caught = result.rows[static_cast<std::size_t>(plant.rule - 1)].broken > 0;
+    const bool caught = result.rows[static_cast<std::size_t>(plant.rule - 1)].violations > 0;
     std::printf("plant %s: %s by rule %d\n", plant.name, caught ? "caught" : "NOT caught", plant.rule);
     // A plant makes a day fail; one that nobody caught is told apart by its own code.
     return caught ? found : refused;
@@ -89,20 +89,20 @@
   std::size_t broken = 0;
   std::map<std::string, std::size_t> tested;
   for (std::uint64_t i = 0; i < (file.empty() ? seeds : 1); ++i) {
-    const history::History one = file.empty() ? history::draw(settings, seed + i) : history::read(file);
+    const history::History one = file.empty() ? history::generate(settings, seed + i) : history::read(file);
     if (print) {
       history::write(std::cout, one);
       continue;
     }
-    const history::Played played = history::play(one, plant);
-    for (const audit::Row& row : played.rows) tested[row.rule] += row.tested;
-    if (seeds == 1 || !file.empty() || played.broken() > 0)
-      std::fputs(history::shown(played).c_str(), stdout);
-    if (played.broken() > 0 && file.empty())
+    const history::ReplayResult played = history::play(one, plant);
+    for (const audit::RuleResult& row : played.ruleResults) tested[row.rule] += row.tested;
+    if (seeds == 1 || !file.empty() || played.violations() > 0)
+      std::fputs(history::format(played).c_str(), stdout);
+    if (played.violations() > 0 && file.empty())
       std::printf("replay: lupinsill lab history --settings %s --seed %llu%s\n", settings.c_str(),
                   static_cast<unsigned long long>(seed + i),
                   plant.empty() ? "" : (" --plant " + plant).c_str());
-    broken += played.broken();
+    broken += played.violations();
   }
   if (print) return 0;
   if (broken > 0) return complain(found, "rules broken: " + std::to_string(broken));
@@ -270,11 +270,11 @@
     if (run->parsed()) {
       if (!plant.empty()) start.hooks = lab::hooksOf(plant);
       if (!policy.empty()) {
-        const auto known = baseline::names();
+        const auto known = baseline::policyNames();
         if (std::find(known.begin(), known.end(), policy) == known.end())
           return complain(wrong, "--policy " + policy + ": expected first-open or random-lowest");
         start.hooks.decider = [policy](const ControlSettings& terms, std::uint64_t seed) {
-          return baseline::make(policy, terms, seed);
+          return baseline::makePolicy(policy, terms, seed);
         };
       }
       return director::run(start);
--- a/src/client_script/script.cpp
+++ b/src/client_script/script.cpp
@@ -18,8 +18,8 @@
 
 }  // namespace
 
-const std::vector<Plan>& plans() {
-  static const std::vector<Plan> all{
+const std::vector<FaultPlan>& faultPlans() {
+  static const std::vector<FaultPlan> all{
       {"ok", "nothing fails", false, false, 1},
       {"lose", "the first answer is decided, and the call cut instead of carrying it", false, false, 1},
       {"unheard", "the call is cut before its first ask is taken", false, false, 1},
@@ -39,18 +39,19 @@
   return all;
 }
 
-const Plan* planOf(const std::string& title) {
+const FaultPlan* findFaultPlan(const std::string& title) {
   const std::string name = title.substr(0, title.find('.'));
-  for (const Plan& plan : plans())
+  for (const FaultPlan& plan : faultPlans())
     if (name == plan.name) return &plan;
   return nullptr;
 }
 
-std::vector<Sequence> draw(int sequences, std::uint64_t seed) {
+std::vector<Sequence> generate(int sequences, std::uint64_t seed) {
   std::minstd_rand chance(static_cast<std::minstd_rand::result_type>(seed % 2147483646 + 1));
   const auto below = [&](std::size_t n) { return static_cast<std::size_t>(chance() / 7 % n); };
-  std::vector<const Plan*> calm, faulty, deadly;
-  for (const Plan& plan : plans()) (plan.kills ? deadly : plan.paidOnly ? faulty : calm).push_back(&plan);
+  std::vector<const FaultPlan*> calm, faulty, deadly;
+  for (const FaultPlan& plan : faultPlans())
+    (plan.killsDirector ? deadly : plan.paidOnly ? faulty : calm).push_back(&plan);
   std::vector<Sequence> out;
   for (int number = 1; number <= sequences; ++number) {
     Sequence sequence;
@@ -62,23 +63,23 @@
     for (std::size_t i = 0; i < wishes; ++i) {
       // Nodes that fail are gated, rightly, and a fleet of them throttles: they stay few among the asks.
       const auto& from = below(8) == 0 ? faulty : calm;
-      const Plan& plan =
+      const FaultPlan& plan =
           kills ? *deadly[static_cast<std::size_t>(number / 40) % deadly.size()] : *from[below(from.size())];
-      WishLine wish;
+      ScriptedRequest wish;
       wish.title = std::string(plan.name) + "." + std::to_string(number) + "." + std::to_string(i);
       wish.paid = plan.paidOnly || below(2) == 0;
       wish.room = wish.paid ? "paid-class" : "recipe-clip";
       wish.timeout = 20'000'000;
-      sequence.wishes.push_back(std::move(wish));
+      sequence.requests.push_back(std::move(wish));
     }
     out.push_back(std::move(sequence));
   }
   return out;
 }
 
-std::string lineOf(const Sequence& sequence) {
+std::string toLine(const Sequence& sequence) {
   Json wishes = Json::array();
-  for (const WishLine& wish : sequence.wishes)
+  for (const ScriptedRequest& wish : sequence.requests)
     wishes.push_back({{"title", wish.title},
                       {"room", wish.room},
                       {"paid", wish.paid},
@@ -86,26 +87,26 @@
   return Json{{"sequence", sequence.number}, {"seed", sequence.seed}, {"wishes", wishes}}.dump();
 }
 
-Sequence readLine(const std::string& line) {
+Sequence parseSequence(const std::string& line) {
   const Json json = parsed(line);
   Sequence out;
   try {
     out.number = json.at("sequence").get<int>();
     out.seed = json.at("seed").get<std::uint64_t>();
     for (const Json& wish : json.at("wishes"))
-      out.wishes.push_back({wish.at("title").get<std::string>(), wish.at("room").get<std::string>(),
-                            wish.at("paid").get<bool>(), wish.at("timeoutMs").get<Micros>() * 1000});
+      out.requests.push_back({wish.at("title").get<std::string>(), wish.at("room").get<std::string>(),
+                              wish.at("paid").get<bool>(), wish.at("timeoutMs").get<Micros>() * 1000});
   } catch (const Json::exception& bad) {
     throw std::runtime_error("script: " + std::string(bad.what()) + ": " + line);
   }
   return out;
 }
 
-std::string lineOf(const Played& played) {
+std::string toLine(const SequenceResult& played) {
   return Json{{"sequence", played.sequence}, {"results", played.results}}.dump();
 }
 
-Played readPlayed(const std::string& line) {
+SequenceResult parseResult(const std::string& line) {
   const Json json = parsed(line);
   try {
     return {json.at("sequence").get<int>(), json.at("results").get<std::vector<std::string>>()};
@@ -114,15 +115,15 @@
   }
 }
 
-std::vector<Finding> compare(const std::vector<Sequence>& script, const std::vector<Library>& libraries) {
+std::vector<Finding> compare(const std::vector<Sequence>& script, const std::vector<LibraryRun>& libraries) {
   std::vector<Finding> found;
   for (const Sequence& sequence : script)
-    for (std::size_t i = 0; i < sequence.wishes.size(); ++i) {
-      const WishLine& wish = sequence.wishes[i];
-      const Plan* plan = planOf(wish.title);
+    for (std::size_t i = 0; i < sequence.requests.size(); ++i) {
+      const ScriptedRequest& wish = sequence.requests[i];
+      const FaultPlan* plan = findFaultPlan(wish.title);
       std::string first;
       int firstSetUps = 0;
-      for (const Library& library : libraries) {
+      for (const LibraryRun& library : libraries) {
         const auto say = [&](const std::string& what) {
           found.push_back({wish.title + " (" + library.name + ")", what});
         };
@@ -135,8 +136,8 @@
         const auto counted = library.setUps.find(wish.title + "." + library.name);
         const int setUps = counted == library.setUps.end() ? 0 : counted->second;
         if (result == "playing" && setUps == 0) say("plays, and was never set up");
-        if (wish.paid && plan != nullptr && setUps > plan->setUpsMost)
-          say("set up " + std::to_string(setUps) + " times, at most " + std::to_string(plan->setUpsMost));
+        if (wish.paid && plan != nullptr && setUps > plan->maxSetUps)
+          say("set up " + std::to_string(setUps) + " times, at most " + std::to_string(plan->maxSetUps));
         // How often a safe wish is set up is the director's to weigh; a paid one leaves nothing to chance.
         if (&library == &libraries.front()) {
           first = result;
--- a/src/client_script/script.h
+++ b/src/client_script/script.h
@@ -13,7 +13,7 @@
 
 namespace lupinsill::client_script {
 
-struct WishLine {
+struct ScriptedRequest {
   std::string title;  // without the library's part
   std::string room;
   bool paid = false;
@@ -22,43 +22,43 @@
 struct Sequence {
   int number = 0;
   std::uint64_t seed = 0;  // of the client's own chance
-  std::vector<WishLine> wishes;
+  std::vector<ScriptedRequest> requests;
 };
 
 // What a plan does, for those who carry it out.
-struct Plan {
+struct FaultPlan {
   const char* name;
-  const char* what;
+  const char* description;
   bool paidOnly;
-  bool kills;      // a director dies of it
-  int setUpsMost;  // of a paid wish, over everything
+  bool killsDirector;  // a director dies of it
+  int maxSetUps;       // of a paid wish, over everything
 };
-const std::vector<Plan>& plans();
-const Plan* planOf(const std::string& title);  // null: none of ours
+const std::vector<FaultPlan>& faultPlans();
+const FaultPlan* findFaultPlan(const std::string& title);  // null: none of ours
 
-std::vector<Sequence> draw(int sequences, std::uint64_t seed);
+std::vector<Sequence> generate(int sequences, std::uint64_t seed);
 
-std::string lineOf(const Sequence& sequence);  // one line of JSON
-Sequence readLine(const std::string& line);
+std::string toLine(const Sequence& sequence);  // one line of JSON
+Sequence parseSequence(const std::string& line);
 // What a library made of a sequence: a result a wish.
-struct Played {
+struct SequenceResult {
   int sequence = 0;
   std::vector<std::string> results;
 };
-std::string lineOf(const Played& played);
-Played readPlayed(const std::string& line);
+std::string toLine(const SequenceResult& played);
+SequenceResult parseResult(const std::string& line);
 
-struct Library {
+struct LibraryRun {
   std::string name;
-  std::map<int, Played> played;
+  std::map<int, SequenceResult> played;
   std::map<std::string, int> setUps;  // by whole title, as counted at the nodes
-  std::uint64_t asks = 0;             // sent; 0 where that was not counted
+  std::uint64_t requestsSent = 0;     // sent; 0 where that was not counted
 };
 struct Finding {
-  std::string title, what;
+  std::string title, description;
 };
 // Holds libraries against each other and each against the rules: a result each, the same results and (of paid
 // wishes) set-ups in all, never more set-ups than a plan allows, never a yes without one.
-std::vector<Finding> compare(const std::vector<Sequence>& script, const std::vector<Library>& libraries);
+std::vector<Finding> compare(const std::vector<Sequence>& script, const std::vector<LibraryRun>& libraries);
 
 }  // namespace lupinsill::client_script
--- a/src/history/history.cpp
+++ b/src/history/history.cpp
@@ -16,20 +16,24 @@
 constexpr Micros ms = 1'000;
 constexpr Micros second = 1'000'000;
 
-constexpr std::array<std::pair<const char*, What>, 23> words{{
-    {"wish", What::wish},        {"leave", What::leave},     {"cut", What::cut},
-    {"start", What::start},      {"restart", What::restart}, {"recell", What::recell},
-    {"drain", What::drain},      {"gone", What::gone},       {"kill", What::kill},
-    {"hang", What::hang},        {"lose", What::lose},       {"fail", What::fail},
-    {"refuse", What::refuse},    {"silent", What::silent},   {"connect", What::connect},
-    {"link-cut", What::linkCut}, {"repeat", What::repeat},   {"thin", What::thin},
-    {"late", What::late},        {"down", What::down},       {"up", What::up},
-    {"stand", What::stand},      {"disk", What::disk},
+constexpr std::array<std::pair<const char*, EventKind>, 23> words{{
+    {"wish", EventKind::request},           {"leave", EventKind::leave},
+    {"cut", EventKind::disconnect},         {"start", EventKind::startNode},
+    {"restart", EventKind::restartNode},    {"recell", EventKind::changeCell},
+    {"drain", EventKind::drainNode},        {"gone", EventKind::unlistNode},
+    {"kill", EventKind::killNode},          {"hang", EventKind::stallNode},
+    {"lose", EventKind::loseAnswers},       {"fail", EventKind::failJoins},
+    {"refuse", EventKind::refuseJoins},     {"silent", EventKind::stopReports},
+    {"connect", EventKind::setConnectTime}, {"link-cut", EventKind::reduceLink},
+    {"repeat", EventKind::repeatList},      {"thin", EventKind::partialList},
+    {"late", EventKind::delayList},         {"down", EventKind::killDirector},
+    {"up", EventKind::startDirector},       {"stand", EventKind::stallDirector},
+    {"disk", EventKind::setCommitTime},
 }};
 
-void byTime(std::vector<Happening>& list) {
+void byTime(std::vector<HistoryEvent>& list) {
   std::stable_sort(list.begin(), list.end(),
-                   [](const Happening& a, const Happening& b) { return a.at < b.at; });
+                   [](const HistoryEvent& a, const HistoryEvent& b) { return a.at < b.at; });
 }
 
 }  // namespace
@@ -58,53 +62,53 @@
       if (!(text >> h.directors >> h.nodes >> h.zones >> h.linkKb >> least >> most >> h.seed) ||
           h.directors < 1 || h.nodes < 1 || h.zones < 1 || h.linkKb <= 0 || least > most)
         bad("directors, nodes, zones, link kB, least and most ms of a set-up, seed expected");
-      h.setUpLeast = static_cast<Micros>(least * ms);
-      h.setUpMost = static_cast<Micros>(most * ms);
+      h.minSetUpTime = static_cast<Micros>(least * ms);
+      h.maxSetUpTime = static_cast<Micros>(most * ms);
       continue;
     }
     if (h.settingsFile.empty()) bad("settings come first");
-    Happening one;
+    HistoryEvent one;
     one.at = static_cast<Micros>(std::atof(first.c_str()) * ms);
     text >> word;
     const auto known =
         std::find_if(words.begin(), words.end(), [&](const auto& w) { return word == w.first; });
     if (known == words.end()) bad("unknown word '" + word + "'");
-    one.what = known->second;
-    text >> one.who;
-    if (one.what == What::wish) {
+    one.kind = known->second;
+    text >> one.subject;
+    if (one.kind == EventKind::request) {
       double length = 0;
       if (!(text >> one.room >> one.title >> one.top >> length)) bad("room, title, top and length expected");
       if (one.room < 0 || one.room >= static_cast<int>(h.deployment.terms.roomTypes.size()))
         bad("no such room");
       one.length = static_cast<Micros>(length * ms);
     } else {
-      text >> one.much;
+      text >> one.value;
     }
-    h.happenings.push_back(one);
+    h.events.push_back(one);
   }
   if (h.settingsFile.empty()) bad("no settings named");
-  byTime(h.happenings);
+  byTime(h.events);
   return h;
 }
 
 void write(std::ostream& out, const History& h) {
   out << "settings " << h.settingsFile << "\n# directors nodes zones link-kb set-up-least set-up-most seed\n"
       << "fleet " << h.directors << ' ' << h.nodes << ' ' << h.zones << ' ' << h.linkKb << ' '
-      << h.setUpLeast / ms << ' ' << h.setUpMost / ms << ' ' << h.seed << '\n';
-  for (const Happening& one : h.happenings) {
+      << h.minSetUpTime / ms << ' ' << h.maxSetUpTime / ms << ' ' << h.seed << '\n';
+  for (const HistoryEvent& one : h.events) {
     const auto word =
-        std::find_if(words.begin(), words.end(), [&](const auto& w) { return one.what == w.second; });
-    out << one.at / ms << ' ' << word->first << ' ' << one.who;
-    if (one.what == What::wish)
+        std::find_if(words.begin(), words.end(), [&](const auto& w) { return one.kind == w.second; });
+    out << one.at / ms << ' ' << word->first << ' ' << one.subject;
+    if (one.kind == EventKind::request)
       out << ' ' << one.room << ' ' << one.title << ' ' << one.top << ' ' << one.length / ms;
     else
-      out << ' ' << one.much;
+      out << ' ' << one.value;
     out << '\n';
   }
 }
 
-History draw(const std::string& settingsFile, std::uint64_t seed) {
-  model::Chance chance(seed, 77);
+History generate(const std::string& settingsFile, std::uint64_t seed) {
+  model::RandomSource chance(seed, 77);
   History h;
   h.settingsFile = settingsFile;
   h.deployment = settings::readDeployment(settingsFile);
@@ -116,42 +120,43 @@
   h.nodes = std::max(1, terms.cells);
   h.zones = 1 + static_cast<int>(chance.below(2));
   h.linkKb = terms.weightKb * chance.between(0.3, 1.2);
-  if (chance.comes(0.2)) h.setUpLeast = 100 * ms, h.setUpMost = 700 * ms;
+  if (chance.withProbability(0.2)) h.minSetUpTime = 100 * ms, h.maxSetUpTime = 700 * ms;
   const Micros length = 20 * second;
-  const auto at = [&] { return chance.span(0, length); };
+  const auto at = [&] { return chance.duration(0, length); };
   const auto node = [&] { return 1 + static_cast<int>(chance.below(static_cast<std::size_t>(h.nodes))); };
   const auto director = [&] { return static_cast<int>(chance.below(static_cast<std::size_t>(h.directors))); };
-  const auto add = [&](Micros when, What what, int who, double much = 0) {
-    h.happenings.push_back({when, what, who, much, 0, 0, 0, 0});
+  const auto add = [&](Micros when, EventKind what, int who, double much = 0) {
+    h.events.push_back({when, what, who, much, 0, 0, 0, 0});
   };
   // On for a while: a trouble and its end.
-  const auto spell = [&](What what, int who, double on, double off) {
+  const auto spell = [&](EventKind what, int who, double on, double off) {
     const Micros from = at();
     add(from, what, who, on);
-    add(from + chance.span(300 * ms, 6 * second), what, who, off);
+    add(from + chance.duration(300 * ms, 6 * second), what, who, off);
   };
   const int wishes = 60 + static_cast<int>(chance.below(240));
   const Micros crowdAt = at();
-  const bool crowd = chance.comes(0.4);
+  const bool crowd = chance.withProbability(0.4);
   for (int viewer = 1; viewer <= wishes; ++viewer) {
-    Happening one;
-    one.who = viewer;
-    one.at = crowd && viewer % 3 == 0 ? crowdAt + chance.span(0, second) : at();
+    HistoryEvent one;
+    one.subject = viewer;
+    one.at = crowd && viewer % 3 == 0 ? crowdAt + chance.duration(0, second) : at();
     one.room = static_cast<int>(chance.below(terms.roomTypes.size()));
     one.title = crowd && viewer % 3 == 0 ? 1 : static_cast<int>(chance.below(6));
     one.top = terms.roomTypes[static_cast<std::size_t>(one.room)].top;
-    one.length = chance.span(500 * ms, 9 * second);
-    h.happenings.push_back(one);
-    if (chance.comes(0.05)) add(one.at + chance.span(0, 2 * second), What::leave, viewer);
-    if (chance.comes(0.08)) add(one.at + chance.span(0, 1500 * ms), What::cut, viewer);
+    one.length = chance.duration(500 * ms, 9 * second);
+    h.events.push_back(one);
+    if (chance.withProbability(0.05)) add(one.at + chance.duration(0, 2 * second), EventKind::leave, viewer);
+    if (chance.withProbability(0.08))
+      add(one.at + chance.duration(0, 1500 * ms), EventKind::disconnect, viewer);
   }
   int fresh = h.nodes;
   const auto replace = [&](int old, Micros when, bool drained) {
-    if (drained) add(when, What::drain, old);
-    const Micros end = when + (drained ? chance.span(500 * ms, 3 * second) : 0);
-    add(end, What::kill, old);
-    add(end + chance.span(0, 500 * ms), What::gone, old);
-    add(end + chance.span(0, second), What::start, ++fresh, (old - 1) % h.nodes);
+    if (drained) add(when, EventKind::drainNode, old);
+    const Micros end = when + (drained ? chance.duration(500 * ms, 3 * second) : 0);
+    add(end, EventKind::killNode, old);
+    add(end + chance.duration(0, 500 * ms), EventKind::unlistNode, old);
+    add(end + chance.duration(0, second), EventKind::startNode, ++fresh, (old - 1) % h.nodes);
   };
   for (std::size_t n = 1 + chance.below(6); n > 0; --n) {
     switch (chance.below(16)) {
@@ -163,74 +168,75 @@
         replace(node(), at(), false);
         break;
       case 3:
-        spell(What::hang, node(), 1, 0);
+        spell(EventKind::stallNode, node(), 1, 0);
         break;
       case 4:
-        spell(What::lose, node(), 1, 0);
+        spell(EventKind::loseAnswers, node(), 1, 0);
         break;
       case 5:
-        spell(What::fail, node(), chance.between(0.2, 1), 0);
+        spell(EventKind::failJoins, node(), chance.between(0.2, 1), 0);
         break;
       case 6:
-        spell(What::refuse, node(), 1, 0);
+        spell(EventKind::refuseJoins, node(), 1, 0);
         break;
       case 7:
-        spell(What::connect, node(), chance.between(50, 1500), 3);
+        spell(EventKind::setConnectTime, node(), chance.between(50, 1500), 3);
         break;
       case 8:
-        spell(What::linkCut, node(), chance.between(2, 4), 1);
+        spell(EventKind::reduceLink, node(), chance.between(2, 4), 1);
         break;
       case 9:
-        spell(What::silent, node(), 1, 0);
+        spell(EventKind::stopReports, node(), 1, 0);
         break;
       case 10:
-        add(at(), What::repeat, 0);
+        add(at(), EventKind::repeatList, 0);
         break;
       case 11:
-        add(at(), What::thin, 0);
+        add(at(), EventKind::partialList, 0);
         break;
       case 12:
-        spell(What::late, director(), chance.between(100, 3000), 0);
+        spell(EventKind::delayList, director(), chance.between(100, 3000), 0);
         break;
       case 13:
-        spell(What::disk, director(), chance.between(20, 2500), 2);
+        spell(EventKind::setCommitTime, director(), chance.between(20, 2500), 2);
         break;
       case 14:
-        spell(What::stand, director(), 1, 0);
+        spell(EventKind::stallDirector, director(), 1, 0);
         break;
       case 15: {
         const int who = director();
         const Micros when = at();
-        add(when, What::down, who);
-        add(when + chance.span(100 * ms, 2 * second), What::up, who);
+        add(when, EventKind::killDirector, who);
+        add(when + chance.duration(100 * ms, 2 * second), EventKind::startDirector, who);
         break;
       }
     }
   }
   // Now and then a whole zone's nodes start anew at once, as after a power cut.
-  if (chance.comes(0.25)) {
+  if (chance.withProbability(0.25)) {
     const Micros when = at();
     for (int n = 1; n <= h.nodes; n += 1 + static_cast<int>(chance.below(3))) replace(n, when, false);
   }
-  if (chance.comes(0.3)) add(at(), What::restart, node());
-  if (chance.comes(0.2))
-    add(at(), What::recell, node(), static_cast<double>(chance.below(static_cast<std::size_t>(h.nodes))));
+  if (chance.withProbability(0.3)) add(at(), EventKind::restartNode, node());
+  if (chance.withProbability(0.2))
+    add(at(), EventKind::changeCell, node(),
+        static_cast<double>(chance.below(static_cast<std::size_t>(h.nodes))));
   // Every eighth is of many directors that all lose their power with all the nodes, in the middle of a crowd.
   if (blackout) {
-    const Micros when = chance.span(3 * second, 16 * second);
-    for (int n = 1; n <= h.nodes; ++n) add(when + chance.span(0, 200 * ms), What::restart, n);
+    const Micros when = chance.duration(3 * second, 16 * second);
+    for (int n = 1; n <= h.nodes; ++n) add(when + chance.duration(0, 200 * ms), EventKind::restartNode, n);
     for (int d = 0; d < h.directors; ++d) {
-      add(when, What::down, d);
-      add(when + chance.span(100 * ms, 500 * ms), What::up, d);
+      add(when, EventKind::killDirector, d);
+      add(when + chance.duration(100 * ms, 500 * ms), EventKind::startDirector, d);
     }
     for (int viewer = wishes + 1; viewer <= wishes + 400; ++viewer)
-      h.happenings.push_back({when + chance.span(0, 3 * second), What::wish, viewer, 0,
-                              viewer % 3 == 0 ? 0 : -1, viewer % 6, 1, 2 * second});
-    for (Happening& one : h.happenings)
-      if (one.what == What::wish && one.room < 0)
+      h.events.push_back({when + chance.duration(0, 3 * second), EventKind::request, viewer, 0,
+                          viewer % 3 == 0 ? 0 : -1, viewer % 6, 1, 2 * second});
+    for (HistoryEvent& one : h.events)
+      if (one.kind == EventKind::request && one.room < 0)
         one.room = static_cast<int>(chance.below(terms.roomTypes.size()));
   }
-  byTime(h.happenings);
+  byTime(h.events);
   return h;
 }
 
--- a/src/history/play.cpp
+++ b/src/history/play.cpp
@@ -35,7 +35,7 @@
 class Theatre {
  public:
   Theatre(const History& history, const std::string& plant);
-  Played play();
+  ReplayResult play();
 
  private:
   // ---- time ----
@@ -103,7 +103,7 @@
     std::size_t seen = 0;
     int viewer = 0, room = 0, rung = 0, title = 0;
     bool ran = false, over = false;
-    model::Stream stream = 0;
+    model::StreamId stream = 0;
   };
   struct Node {
     NodeId id = 0;
@@ -131,7 +131,7 @@
 
   // ---- players ----
   struct Wish {
-    Happening asked;
+    HistoryEvent asked;
     int app = 0;
     bool ended = false;
     client::AttemptId playing = 0;
@@ -150,7 +150,7 @@
   void closeTry(int app, client::AttemptId id, bool lost);
   void tickApp(int app);
 
-  void happen(const Happening& one);
+  void happen(const HistoryEvent& one);
   Node* node(int id) {
     const auto it = nodes_.find(static_cast<NodeId>(id));
     return it == nodes_.end() ? nullptr : it->second.get();
@@ -162,8 +162,8 @@
   Micros now_ = zero;
   std::uint64_t order_ = 0;
   std::priority_queue<Later> later_;
-  model::Chance chance_;
-  model::World world_;
+  model::RandomSource chance_;
+  model::LinkModel world_;
   std::vector<Director> directors_;
   std::map<NodeId, std::unique_ptr<Node>> nodes_;
   NodeId nextNode_ = 0;
@@ -173,7 +173,7 @@
   std::vector<std::vector<client::Action>> acts_;
   std::map<int, Wish> wishes_;
   std::vector<std::map<client::AttemptId, Attempt>> tries_;
-  Played out_;
+  ReplayResult out_;
 };
 
 Theatre::Theatre(const History& history, const std::string& plant)
@@ -238,8 +238,8 @@
 
 void Theatre::die(Director& d) {
   if (!d.up) return;
-  out_.record.downs.push_back({d.place, d.run, now_ - zero});
-  out_.held += [&] {
+  out_.record.directorKills.push_back({d.place, d.run, now_ - zero});
+  out_.heldByGuards += [&] {
     std::size_t held = 0;
     for (const auto n : d.front->statistics().held) held += n;
     return held;
@@ -321,22 +321,23 @@
 }
 
 void Theatre::carry(Director& d, const session::Command& order) {
-  const auto say = [&](CallId callId, audit::AskSeen::Answer::Kind kind, client::Answer answer,
+  const auto say = [&](CallId callId, audit::RequestObservation::Answer::Kind kind, client::Answer answer,
                        Micros retryAfter, bool drains) {
     const auto it = d.lines.find(callId);
     if (it == d.lines.end()) return;
     const auto [app, id] = it->second;
-    if (kind != audit::AskSeen::Answer::Kind::playing) d.lines.erase(it);
+    if (kind != audit::RequestObservation::Answer::Kind::playing) d.lines.erase(it);
     after(wire, [this, app = app, id = id, kind, answer, retryAfter, drains] {
       const auto at = tries_[static_cast<std::size_t>(app)].find(id);
       if (at == tries_[static_cast<std::size_t>(app)].end()) return;
       // What comes after the player closed is heard by nobody.
       if (at->second.open && at->second.asked >= 0)
-        out_.record.asks[static_cast<std::size_t>(at->second.asked)].answers.push_back({now_ - zero, kind});
+        out_.record.requests[static_cast<std::size_t>(at->second.asked)].answers.push_back(
+            {now_ - zero, kind});
       if (at->second.open) heard(app, id, answer, retryAfter, drains);
     });
   };
-  using Kind = audit::AskSeen::Answer::Kind;
+  using Kind = audit::RequestObservation::Answer::Kind;
   if (const auto* p = std::get_if<session::Playing>(&order)) {
     say(p->callId, Kind::playing, client::Answer::playing, 0, false);
   } else if (const auto* t = std::get_if<session::Throttled>(&order)) {
@@ -452,10 +453,11 @@
     std::set<NodeId> named;
     for (const fleet::NodeEndpoint& endpoint : word.endpoints) {
       named.insert(endpoint.node);
-      out_.record.words.push_back({endpoint.node, now_ - zero, endpoint.state, d.place});
+      out_.record.listedStates.push_back({endpoint.node, now_ - zero, endpoint.state, d.place});
     }
     for (const auto& [id, n] : nodes_)
-      if (!named.contains(id)) out_.record.words.push_back({id, now_ - zero, NodeState::gone, d.place});
+      if (!named.contains(id))
+        out_.record.listedStates.push_back({id, now_ - zero, NodeState::gone, d.place});
   }
   ListUpdate told;
   const fleet::UpdateResult taken = d.list->apply(now_, word, told);
@@ -488,7 +490,7 @@
   s->rung = order.rung;
   s->title = std::atoi(order.title.c_str() + 1);
   s->seen = out_.record.setUps.size();
-  audit::SetUpSeen seen;
+  audit::SetUpObservation seen;
   seen.at = now_ - zero;
   seen.node = n.id;
   seen.director = d.name();
@@ -507,7 +509,7 @@
     const double bears = places() * world_.warmth(n.id, now_) * static_cast<double>(terms_.fallTime) /
                          static_cast<double>(terms_.coldTime) * terms_.overloadFactor;
     if (static_cast<double>(n.coldSeen.size()) > bears + 2) {
-      out_.record.nodesFallen.push_back("node " + std::to_string(n.id));
+      out_.record.overloadedNodes.push_back("node " + std::to_string(n.id));
       return killNode(n);
     }
   }
@@ -524,7 +526,7 @@
 
 void Theatre::process(Node& n, const std::shared_ptr<Session>& s) {
   if (!n.alive) return;
-  audit::SetUpSeen& seen = out_.record.setUps[s->seen];
+  audit::SetUpObservation& seen = out_.record.setUps[s->seen];
   const JoinId key = s->join;
   if (s->over) {
     // It read the set-up after it stood still, before the teardown behind it: it ran, for a moment.
@@ -533,14 +535,14 @@
   }
   const auto most = static_cast<std::size_t>(places());
   const bool full = n.draining || n.refuse || world_.streams(n.id) >= most;
-  if (full || chance_.comes(n.fail)) {
+  if (full || chance_.withProbability(n.fail)) {
     if (full) seen.refusedAt = now_ - zero;
     if (!n.lose)
       answer(*s,
              [this, key, full](Director& d) { ended(d, key, full ? Outcome::full : Outcome::error, false); });
     return over(n, *s);
   }
-  after(chance_.span(h_.setUpLeast, h_.setUpMost), [this, &n, s] {
+  after(chance_.duration(h_.minSetUpTime, h_.maxSetUpTime), [this, &n, s] {
     if (n.hang)
       n.held.push_back([this, &n, s] { runIt(n, s); });
     else
@@ -552,7 +554,7 @@
   if (!n.alive || s->over) return;
   s->ran = true;
   out_.record.setUps[s->seen].ranAt = now_ - zero;
-  s->stream = world_.play(n.id, s->viewer, s->room, s->rung, s->title, true);
+  s->stream = world_.startStream(n.id, s->viewer, s->room, s->rung, s->title, true);
   const JoinId key = s->join;
   if (!n.lose) {
     const double link = world_.load(n.id, 0).link;
@@ -574,7 +576,7 @@
   if (s.over) return;
   s.over = true;
   out_.record.setUps[s.seen].endedAt = now_ - zero;
-  if (s.stream != 0) world_.stop(s.stream);
+  if (s.stream != 0) world_.stopStream(s.stream);
 }
 
 void Theatre::killNode(Node& n) {
@@ -630,7 +632,7 @@
             {client::Result::terminated, &out_.terminated},   {client::Result::unknown, &out_.unknown},
             {client::Result::unreachable, &out_.unreachable}, {client::Result::cancelled, &out_.unreachable}}
                .at(give->result);
-        if (give->result == client::Result::throttled) out_.comeBack.push_back(give->retryAfter);
+        if (give->result == client::Result::throttled) out_.retryAfter.push_back(give->retryAfter);
         wishes_.at(static_cast<int>(give->request)).ended = give->result != client::Result::playing;
       }
     }
@@ -676,7 +678,7 @@
     const client::SendParameters sending =
         apps_[static_cast<std::size_t>(app)]->beginSend(now_, id, "d" + std::to_string(one.director));
     if (sending.key.empty()) return;
-    const Happening& wish = wishes_.at(one.viewer).asked;
+    const HistoryEvent& wish = wishes_.at(one.viewer).asked;
     session_api::PlayMessage ask;
     ask.key = sending.key;
     ask.previousDirector = sending.previousDirector;
@@ -687,8 +689,8 @@
     ask.room = h_.deployment.roomTypes[static_cast<std::size_t>(wish.room)];
     ask.top = wish.top;
     if (!h_.deployment.tenants.empty()) ask.tenant = h_.deployment.tenants[0];
-    one.asked = static_cast<long>(out_.record.asks.size());
-    audit::AskSeen seen;
+    one.asked = static_cast<long>(out_.record.requests.size());
+    audit::RequestObservation seen;
     seen.at = now_ - zero;
     seen.director = one.director;
     seen.run = one.run;
@@ -698,7 +700,7 @@
     seen.roomType = wish.room;
     seen.timeout =
         std::min(sending.timeLeft, h_.deployment.clientTimeouts[static_cast<std::size_t>(wish.room)]);
-    out_.record.asks.push_back(seen);
+    out_.record.requests.push_back(seen);
     reach(d, [&d, ask, callId = one.callId] {
       std::string why;
       auto read = d.reception->translate(callId, ask, std::nullopt, *d.list, why);
@@ -724,8 +726,8 @@
   Attempt& at = it->second;
   at.open = false;
   if (at.asked >= 0) {
-    audit::AskSeen& seen = out_.record.asks[static_cast<std::size_t>(at.asked)];
-    if (seen.answers.empty()) seen.closedAt = now_ - zero, seen.lostSocket = lost;
+    audit::RequestObservation& seen = out_.record.requests[static_cast<std::size_t>(at.asked)];
+    if (seen.answers.empty()) seen.closedAt = now_ - zero, seen.connectionLost = lost;
   }
   Director& d = directors_[static_cast<std::size_t>(at.director)];
   if (!d.up || d.run != at.run || at.callId == 0) return;
@@ -735,47 +737,48 @@
 
 // ---- what happens ----
 
-void Theatre::happen(const Happening& one) {
-  const bool on = one.much > 0;
-  Node* n = node(one.who);
-  Director* d =
-      one.who >= 0 && one.who < h_.directors ? &directors_[static_cast<std::size_t>(one.who)] : nullptr;
-  switch (one.what) {
-    case What::wish: {
-      Wish& wish = wishes_[one.who];
+void Theatre::happen(const HistoryEvent& one) {
+  const bool on = one.value > 0;
+  Node* n = node(one.subject);
+  Director* d = one.subject >= 0 && one.subject < h_.directors
+                    ? &directors_[static_cast<std::size_t>(one.subject)]
+                    : nullptr;
+  switch (one.kind) {
+    case EventKind::request: {
+      Wish& wish = wishes_[one.subject];
       wish.asked = one;
-      wish.app = one.who % appsCount;
-      ++out_.wishes;
+      wish.app = one.subject % appsCount;
+      ++out_.requests;
       const auto room = static_cast<std::size_t>(one.room);
       apps_[static_cast<std::size_t>(wish.app)]->submit(
           now_,
-          {static_cast<client::RequestId>(one.who), "k" + std::to_string(one.who),
+          {static_cast<client::RequestId>(one.subject), "k" + std::to_string(one.subject),
            terms_.roomTypes[room].effect != Effect::repeatable, h_.deployment.clientTimeouts[room]},
           acts_[static_cast<std::size_t>(wish.app)]);
       return acts(wish.app);
     }
-    case What::leave:
-    case What::cut: {
-      const auto it = wishes_.find(one.who);
+    case EventKind::leave:
+    case EventKind::disconnect: {
+      const auto it = wishes_.find(one.subject);
       if (it == wishes_.end()) return;
       const int app = it->second.app;
       for (auto& [id, at] : tries_[static_cast<std::size_t>(app)]) {
-        if (at.viewer != one.who || !at.open) continue;
+        if (at.viewer != one.subject || !at.open) continue;
         const client::AttemptId attempt = id;
-        if (one.what == What::leave && it->second.playing == 0)
-          apps_[static_cast<std::size_t>(app)]->cancel(now_, static_cast<client::RequestId>(one.who),
+        if (one.kind == EventKind::leave && it->second.playing == 0)
+          apps_[static_cast<std::size_t>(app)]->cancel(now_, static_cast<client::RequestId>(one.subject),
                                                        acts_[static_cast<std::size_t>(app)]);
         closeTry(app, attempt, false);
-        if (one.what == What::cut)
+        if (one.kind == EventKind::disconnect)
           apps_[static_cast<std::size_t>(app)]->failed(now_, attempt, acts_[static_cast<std::size_t>(app)]);
         return acts(app);
       }
       return;
     }
-    case What::start:
-      begin(static_cast<int>(one.much), true);
+    case EventKind::startNode:
+      begin(static_cast<int>(one.value), true);
       return publish();
-    case What::restart:
+    case EventKind::restartNode:
       if (n == nullptr || !n->alive) return;
       killNode(*n);
       n->alive = n->cold = true;
@@ -786,75 +789,75 @@
       world_.addNode(n->id, n->cell, now_, true);
       out_.record.starts.push_back({n->id, now_ - zero, places(), true});
       return publish();
-    case What::recell:
+    case EventKind::changeCell:
       if (n == nullptr) return;
-      n->cell = static_cast<int>(one.much);
+      n->cell = static_cast<int>(one.value);
       return publish();
-    case What::drain:
+    case EventKind::drainNode:
       if (n == nullptr) return;
       n->draining = true;
       n->listed = NodeState::draining;
       return publish();
-    case What::gone:
+    case EventKind::unlistNode:
       if (n == nullptr) return;
       n->inList = false;
       return publish();
-    case What::kill:
+    case EventKind::killNode:
       if (n != nullptr) killNode(*n);
       return;
-    case What::hang:
+    case EventKind::stallNode:
       if (n == nullptr || !n->alive) return;
       n->hang = on;
       world_.stall(n->id, on);
       if (!on)
         for (const auto& held : std::exchange(n->held, {})) held();
       return;
-    case What::lose:
+    case EventKind::loseAnswers:
       if (n != nullptr) n->lose = on;
       return;
-    case What::fail:
-      if (n != nullptr) n->fail = one.much;
+    case EventKind::failJoins:
+      if (n != nullptr) n->fail = one.value;
       return;
-    case What::refuse:
+    case EventKind::refuseJoins:
       if (n != nullptr) n->refuse = on;
       return;
-    case What::silent:
+    case EventKind::stopReports:
       if (n != nullptr) n->silent = on;
       return;
-    case What::connect:
-      if (n != nullptr) n->connect = static_cast<Micros>(one.much * ms);
+    case EventKind::setConnectTime:
+      if (n != nullptr) n->connect = static_cast<Micros>(one.value * ms);
       return;
-    case What::linkCut:
-      if (n != nullptr && n->alive) world_.cutLink(n->id, std::max(1.0, one.much));
+    case EventKind::reduceLink:
+      if (n != nullptr && n->alive) world_.cutLink(n->id, std::max(1.0, one.value));
       return;
-    case What::repeat:
+    case EventKind::repeatList:
       for (Director& each : directors_) hand(each, word_, 0), hand(each, before_, 0);
       return;
-    case What::thin: {
+    case EventKind::partialList: {
       std::set<NodeId> without;
       for (const auto& [id, each] : nodes_)
         if (id % 3 != 0) without.insert(id);
       publish(without);
       return after(100 * ms, [this] { publish(); });
     }
-    case What::late:
-      if (d != nullptr) d->listLate = static_cast<Micros>(one.much * ms);
+    case EventKind::delayList:
+      if (d != nullptr) d->listLate = static_cast<Micros>(one.value * ms);
       return;
-    case What::down:
+    case EventKind::killDirector:
       if (d != nullptr) die(*d);
       return;
-    case What::up:
+    case EventKind::startDirector:
       if (d != nullptr && !d->up) boot(*d);
       return;
-    case What::stand:
+    case EventKind::stallDirector:
       if (d == nullptr || !d->up || d->stands == on) return;
       d->stands = on;
       if (on) {
-        out_.record.stood.push_back({d->place, d->run, now_ - zero, now_ - zero + 3600 * second});
+        out_.record.directorStalls.push_back({d->place, d->run, now_ - zero, now_ - zero + 3600 * second});
         return;
       }
-      out_.record.stood.back().to = now_ - zero;
-      for (auto& each : out_.record.stood)
+      out_.record.directorStalls.back().to = now_ - zero;
+      for (auto& each : out_.record.directorStalls)
         if (each.director == d->place && each.run == d->run && each.to > now_ - zero) each.to = now_ - zero;
       while (!d->inbox.empty()) {
         const auto what = std::move(d->inbox.front());
@@ -862,18 +865,18 @@
         what();
       }
       return turn(*d);
-    case What::disk:
-      if (d != nullptr) d->disk = static_cast<Micros>(one.much * ms);
+    case EventKind::setCommitTime:
+      if (d != nullptr) d->disk = static_cast<Micros>(one.value * ms);
       return;
   }
 }
 
-Played Theatre::play() {
+ReplayResult Theatre::play() {
   for (int cell = 0; cell < h_.nodes; ++cell) begin(cell, false);
   publish();
   for (Director& d : directors_) d.kept = word_, d.hasKept = true, boot(d);
   Micros last = 0;
-  for (const Happening& one : h_.happenings) {
+  for (const HistoryEvent& one : h_.events) {
     last = std::max(last, one.at);
     after(one.at, [this, &one] { happen(one); });
   }
@@ -897,40 +900,41 @@
   }
   for (Director& d : directors_)
     if (d.up)
-      for (const auto n : d.front->statistics().held) out_.held += n;
-  audit::Statistics statistics;
-  statistics.terms = terms_;
+      for (const auto n : d.front->statistics().held) out_.heldByGuards += n;
+  audit::CheckSettings statistics;
+  statistics.controlSettings = terms_;
   statistics.clientTimeouts = h_.deployment.clientTimeouts;
   statistics.grace = h_.deployment.bounds.grace;
-  out_.rows = audit::check(out_.record, statistics);
+  out_.ruleResults = audit::check(out_.record, statistics);
   return std::move(out_);
 }
 
 }  // namespace
 
-std::size_t Played::broken() const {
+std::size_t ReplayResult::violations() const {
   std::size_t all = 0;
-  for (const audit::Row& row : rows) all += row.broken;
+  for (const audit::RuleResult& row : ruleResults) all += row.violations;
   return all;
 }
 
-Played play(const History& history, const std::string& plant) { return Theatre(history, plant).play(); }
+ReplayResult play(const History& history, const std::string& plant) { return Theatre(history, plant).play(); }
 
-std::string shown(const Played& p) {
+std::string format(const ReplayResult& p) {
   std::string out;
   char callId[300];
-  for (const audit::Row& row : p.rows) {
+  for (const audit::RuleResult& row : p.ruleResults) {
     std::snprintf(callId, sizeof callId, "%-22s %8zu tested %6zu broken   %s\n", row.rule.c_str(), row.tested,
-                  row.broken, row.tested == 0 ? "not put to the test" : row.nearest.c_str());
+                  row.violations, row.tested == 0 ? "not put to the test" : row.closestCase.c_str());
     out += callId;
-    for (const std::string& words : row.first) out += "    " + words + "\n";
+    for (const std::string& words : row.firstViolations) out += "    " + words + "\n";
   }
   std::snprintf(callId, sizeof callId,
                 "%zu wishes: %zu play, %zu throttled, %zu terminated, %zu unknown, %zu not reached; %zu "
                 "asks, %zu joins, "
                 "%zu held back by guards, %zu nodes fallen\n",
-                p.wishes, p.playing, p.throttled, p.terminated, p.unknown, p.unreachable,
-                p.record.asks.size(), p.record.setUps.size(), p.held, p.record.nodesFallen.size());
+                p.requests, p.playing, p.throttled, p.terminated, p.unknown, p.unreachable,
+                p.record.requests.size(), p.record.setUps.size(), p.heldByGuards,
+                p.record.overloadedNodes.size());
   return out + callId;
 }
 
--- a/src/history/play.h
+++ b/src/history/play.h
@@ -12,18 +12,18 @@
 
 namespace lupinsill::history {
 
-struct Played {
+struct ReplayResult {
   audit::Record record;
-  std::vector<audit::Row> rows;
-  std::size_t wishes = 0, playing = 0, throttled = 0, terminated = 0, unknown = 0, unreachable = 0;
-  std::vector<Micros> comeBack;  // what those given up on were told, in order
-  std::size_t held = 0;          // held back by guards, over all directors
-  std::size_t broken() const;
+  std::vector<audit::RuleResult> ruleResults;
+  std::size_t requests = 0, playing = 0, throttled = 0, terminated = 0, unknown = 0, unreachable = 0;
+  std::vector<Micros> retryAfter;  // what those given up on were told, in order
+  std::size_t heldByGuards = 0;    // held back by guards, over all directors
+  std::size_t violations() const;
 };
 
 // `plant`: see lab/plant.h; empty in earnest.
-Played play(const History& history, const std::string& plant = "");
+ReplayResult play(const History& history, const std::string& plant = "");
 
-std::string shown(const Played& played);
+std::string format(const ReplayResult& played);
 
 }  // namespace lupinsill::history
--- a/src/lab/clients.cpp
+++ b/src/lab/clients.cpp
@@ -157,8 +157,8 @@
     next();
   }
   void next() {
-    if (played.results.size() == sequence.wishes.size()) return;
-    const client_script::WishLine& wish = sequence.wishes[played.results.size()];
+    if (played.results.size() == sequence.requests.size()) return;
+    const client_script::ScriptedRequest& wish = sequence.requests[played.results.size()];
     client::Want want;
     want.viewer = name + "-" + std::to_string(sequence.number);
     want.title = wish.title + "." + name;
@@ -171,22 +171,23 @@
       next();
     });
   }
-  bool done() const { return played.results.size() == sequence.wishes.size(); }
+  bool done() const { return played.results.size() == sequence.requests.size(); }
   const client_script::Sequence& sequence;
   std::string name;
-  client_script::Played played;
+  client_script::SequenceResult played;
   client::SessionClient client;
 };
 
 bool kills(const client_script::Sequence& sequence) {
-  return std::any_of(sequence.wishes.begin(), sequence.wishes.end(), [](const client_script::WishLine& wish) {
-    const client_script::Plan* plan = client_script::planOf(wish.title);
-    return plan != nullptr && plan->kills;
-  });
+  return std::any_of(sequence.requests.begin(), sequence.requests.end(),
+                     [](const client_script::ScriptedRequest& wish) {
+                       const client_script::FaultPlan* plan = client_script::findFaultPlan(wish.title);
+                       return plan != nullptr && plan->killsDirector;
+                     });
 }
 
 void playHere(Fleet& fleet, const std::vector<client_script::Sequence>& all,
-              client_script::Library& library) {
+              client_script::LibraryRun& library) {
   for (const bool deadly : {false, true}) {
     std::deque<const client_script::Sequence*> waiting;
     for (const client_script::Sequence& sequence : all)
@@ -203,10 +204,11 @@
           if (deadly && out.empty() && !waiting.empty()) {
             const Micros from = net::monotonicNow(), span = wiped ? settled : pause;
             fleet.until([&] { return fleet.up() && net::monotonicNow() - from >= span; }, 10'000'000);
-            wiped = waiting.front()->wishes.front().title.starts_with("wipe");
+            wiped = waiting.front()->requests.front().title.starts_with("wipe");
           }
           while (out.size() < (deadly ? 1 : atOnce) && !waiting.empty()) {
-            out.push_back(std::make_unique<Playing>(fleet, *waiting.front(), library.name, library.asks));
+            out.push_back(
+                std::make_unique<Playing>(fleet, *waiting.front(), library.name, library.requestsSent));
             waiting.pop_front();
           }
           return out.empty();
@@ -217,7 +219,7 @@
 
 // The library of the website, as a process of its own.
 void playThere(Fleet& fleet, const std::vector<client_script::Sequence>& all, const std::string& player,
-               const std::string& folder, client_script::Library& library) {
+               const std::string& folder, client_script::LibraryRun& library) {
   std::string addresses;
   for (const client::DirectorEndpoint& at : fleet.directors(false))
     addresses += (addresses.empty() ? "" : ",") + at.address;
@@ -226,7 +228,7 @@
     {
       std::ofstream out(scriptFile);
       for (const client_script::Sequence& sequence : all)
-        if (kills(sequence) == deadly) out << client_script::lineOf(sequence) << "\n";
+        if (kills(sequence) == deadly) out << client_script::toLine(sequence) << "\n";
     }
     const std::string many = std::to_string(deadly ? 1 : atOnce),
                       wait = std::to_string(deadly ? pause / 1000 : 0);
@@ -250,7 +252,7 @@
       throw std::runtime_error("node " + player + " did not play the script to its end");
     std::ifstream in(playedFile);
     for (std::string line; std::getline(in, line);) {
-      client_script::Played played = client_script::readPlayed(line);
+      client_script::SequenceResult played = client_script::parseResult(line);
       library.played[played.sequence] = std::move(played);
     }
   }
@@ -297,12 +299,12 @@
 ClientsResult runClients(const ClientsOptions& options) {
   ClientsResult result;
   if (options.scriptFile.empty()) {
-    result.sequences = client_script::draw(options.sequences, options.seed);
+    result.sequences = client_script::generate(options.sequences, options.seed);
   } else {
     std::ifstream in(options.scriptFile);
     if (!in) throw std::runtime_error(options.scriptFile + ": cannot be read");
     for (std::string line; std::getline(in, line);)
-      if (!line.empty()) result.sequences.push_back(client_script::readLine(line));
+      if (!line.empty()) result.sequences.push_back(client_script::parseSequence(line));
   }
   std::string folder = options.keepIn;
   if (folder.empty()) {
@@ -317,7 +319,7 @@
   {
     Fleet fleet(options, folder);
     for (const char* name : {"websocket", "grpc", "typescript"}) {
-      client_script::Library library;
+      client_script::LibraryRun library;
       library.name = name;
       fleet.settle();
       if (library.name == "typescript") {
@@ -361,14 +363,14 @@
     std::map<std::string, int> results;
   };
   out << "plan                  library      wishes  set-ups  results\n";
-  for (const client_script::Plan& plan : client_script::plans())
-    for (const client_script::Library& library : result.libraries)
+  for (const client_script::FaultPlan& plan : client_script::faultPlans())
+    for (const client_script::LibraryRun& library : result.libraries)
       for (const bool paid : {false, true}) {
         Row row;
         for (const client_script::Sequence& sequence : result.sequences)
-          for (std::size_t i = 0; i < sequence.wishes.size(); ++i) {
-            const client_script::WishLine& wish = sequence.wishes[i];
-            if (client_script::planOf(wish.title) != &plan || wish.paid != paid) continue;
+          for (std::size_t i = 0; i < sequence.requests.size(); ++i) {
+            const client_script::ScriptedRequest& wish = sequence.requests[i];
+            if (client_script::findFaultPlan(wish.title) != &plan || wish.paid != paid) continue;
             ++row.wishes;
             const auto counted = library.setUps.find(wish.title + "." + library.name);
             if (counted != library.setUps.end()) row.setUps += counted->second;
@@ -394,7 +396,7 @@
     out << line;
   }
   for (const client_script::Finding& finding : result.findings)
-    out << finding.title << ": " << finding.what << "\n";
+    out << finding.title << ": " << finding.description << "\n";
   return out.str();
 }
 
--- a/src/lab/clients.h
+++ b/src/lab/clients.h
@@ -33,7 +33,7 @@
 
 struct ClientsResult {
   std::vector<client_script::Sequence> sequences;
-  std::vector<client_script::Library> libraries;
+  std::vector<client_script::LibraryRun> libraries;
   std::vector<client_script::Finding> findings;
   std::vector<Storm> storms;
 };
--- a/src/lab/day.cpp
+++ b/src/lab/day.cpp
@@ -72,7 +72,7 @@
 }
 
 std::vector<Arrival> drawArrivals(const Day& day, std::uint64_t seed) {
-  Chance chance(seed, 1);
+  RandomSource chance(seed, 1);
   std::vector<double> titleWeight;
   double all = 0;
   for (int t = 0; t < day.titles; ++t) titleWeight.push_back(all += 1.0 / std::pow(t + 1, 0.9));
@@ -80,7 +80,7 @@
   const auto draw = [&](Micros at) {
     Arrival a;
     a.at = at;
-    double pick = chance.unit();
+    double pick = chance.uniform();
     const RoomShare* room = &day.rooms.back();
     for (const RoomShare& r : day.rooms) {
       if (pick < r.share) {
@@ -90,17 +90,17 @@
       pick -= r.share;
     }
     a.roomType = room->roomType;
-    a.length = chance.span(room->least, room->most);
-    const double place = chance.unit() * all;
+    a.length = chance.duration(room->least, room->most);
+    const double place = chance.uniform() * all;
     a.title = static_cast<int>(std::lower_bound(titleWeight.begin(), titleWeight.end(), place) -
                                titleWeight.begin());
     const int top = day.deployment.terms.roomTypes[static_cast<std::size_t>(a.roomType)].top;
-    a.top = chance.comes(0.25) ? std::max(0, top - 2) : top;
+    a.top = chance.withProbability(0.25) ? std::max(0, top - 2) : top;
     a.zone = static_cast<int>(chance.below(static_cast<std::size_t>(day.zones)));
     return a;
   };
   for (int i = 0; i < day.asks; ++i)
-    arrivals.push_back(draw(static_cast<Micros>(chance.unit() * static_cast<double>(day.length))));
+    arrivals.push_back(draw(static_cast<Micros>(chance.uniform() * static_cast<double>(day.length))));
   for (const Trouble& t : day.troubles) {
     if (t.kind != Kind::burst && t.kind != Kind::crowd) continue;
     const double usual =
@@ -108,7 +108,7 @@
     const auto more = static_cast<int>(usual * t.much);
     const int wanted = static_cast<int>(chance.below(static_cast<std::size_t>(day.titles)));
     for (int i = 0; i < more; ++i) {
-      arrivals.push_back(draw(t.at + static_cast<Micros>(chance.unit() * static_cast<double>(t.span))));
+      arrivals.push_back(draw(t.at + static_cast<Micros>(chance.uniform() * static_cast<double>(t.span))));
       if (t.kind == Kind::crowd) arrivals.back().title = wanted;
     }
   }
@@ -126,7 +126,8 @@
                             : t.kind == Kind::mute            ? Manner::mute
                             : t.kind == Kind::garbage         ? Manner::garbage
                                                               : Manner::plain;
-      if (manner != Manner::plain && a.manner == Manner::plain && chance.comes(t.share)) a.manner = manner;
+      if (manner != Manner::plain && a.manner == Manner::plain && chance.withProbability(t.share))
+        a.manner = manner;
     }
   }
   return arrivals;
--- a/src/lab/day.h
+++ b/src/lab/day.h
@@ -13,7 +13,7 @@
 
 namespace lupinsill::lab {
 
-using model::Chance;
+using model::RandomSource;
 
 enum class Kind {
   answersLost,
--- a/src/lab/players.cpp
+++ b/src/lab/players.cpp
@@ -31,7 +31,7 @@
   std::unique_ptr<websocket::Channel> channel;
 
   std::string viewer() const { return "v" + std::to_string(arrival.viewer); }
-  audit::AskSeen& record() { return crowd->stage_.record->asks[seen]; }
+  audit::RequestObservation& record() { return crowd->stage_.record->requests[seen]; }
   void onOpen(websocket::Channel&) override { crowd->ask(*this, comingBack); }
   void onText(websocket::Channel&, std::string_view text) override {
     crowd->heard(*this, websocket::readAnswer(text));
@@ -134,7 +134,7 @@
   message.top = player.arrival.top;
   message.length = std::max<Micros>(1'000, player.endsAt - now);
   if (again) message.previousDirector = "d" + std::to_string(player.place);
-  audit::AskSeen seen;
+  audit::RequestObservation seen;
   seen.at = now;
   seen.director = player.place;
   seen.run = player.run;
@@ -143,10 +143,10 @@
   seen.title = message.title;
   seen.roomType = player.arrival.roomType;
   seen.timeout = deployment.clientTimeouts[room];
-  seen.mute = player.arrival.manner == Manner::mute;
-  if (!again || player.comingBack) player.seen = stage_.record->asks.size();
-  player.secondSeen = stage_.record->asks.size();
-  stage_.record->asks.push_back(seen);
+  seen.neverReads = player.arrival.manner == Manner::mute;
+  if (!again || player.comingBack) player.seen = stage_.record->requests.size();
+  player.secondSeen = stage_.record->requests.size();
+  stage_.record->requests.push_back(seen);
   if (player.first || !again) player.askedAt = now;
   player.first = false;
   ++tallies_.asks;
@@ -157,7 +157,7 @@
   if (player.arrival.manner == Manner::mute) player.channel->stopReading();
   if (player.arrival.manner == Manner::closer && !again && player.tries == 1) {
     player.closeNext = true;
-    player.wakeAt = now + chance_.span(closeLeast, closeMost);
+    player.wakeAt = now + chance_.duration(closeLeast, closeMost);
   }
   if (player.arrival.manner == Manner::repeater && unsafe && !again) ask(player, true);
   player.comingBack = false;
@@ -167,27 +167,29 @@
   using websocket::AnswerKind;
   const Micros now = stage_.now();
   const bool second = answer.id == "again" && player.secondSeen != player.seen;
-  audit::AskSeen& seen = stage_.record->asks[second ? player.secondSeen : player.seen];
-  const auto record = [&](audit::AskSeen::Answer::Kind kind) { seen.answers.push_back({now, kind}); };
+  audit::RequestObservation& seen = stage_.record->requests[second ? player.secondSeen : player.seen];
+  const auto record = [&](audit::RequestObservation::Answer::Kind kind) {
+    seen.answers.push_back({now, kind});
+  };
   const Micros objective =
       stage_.day->deployment.terms.roomTypes[static_cast<std::size_t>(player.arrival.roomType)].joinObjective;
   switch (answer.kind) {
     case AnswerKind::hello:
       return;
     case AnswerKind::playing:
-      record(audit::AskSeen::Answer::Kind::playing);
+      record(audit::RequestObservation::Answer::Kind::playing);
       ++tallies_.playing;
       if (now - player.askedAt <= objective) ++tallies_.inTime;
       player.state = Player::State::playing;
       player.wakeAt = player.endsAt + 2'000'000;
       return;
     case AnswerKind::throttled:
-      record(audit::AskSeen::Answer::Kind::throttled);
+      record(audit::RequestObservation::Answer::Kind::throttled);
       ++tallies_.throttled;
       if (second) return;
       return over(player, answer.retryAfter, true);
     case AnswerKind::terminated: {
-      record(audit::AskSeen::Answer::Kind::terminated);
+      record(audit::RequestObservation::Answer::Kind::terminated);
       ++tallies_.terminated;
       if (second) return;
       const bool safe =
@@ -209,12 +211,12 @@
 void Crowd::over(Player& player, Micros retryAfter, bool mayComeAgain) {
   const Micros now = stage_.now();
   // Its second ask on the same socket goes unheard from here on.
-  if (player.secondSeen != player.seen && stage_.record->asks[player.secondSeen].answers.empty())
-    stage_.record->asks[player.secondSeen].closedAt = now;
+  if (player.secondSeen != player.seen && stage_.record->requests[player.secondSeen].answers.empty())
+    stage_.record->requests[player.secondSeen].closedAt = now;
   player.drop();
-  const Micros pause = std::max(retryAfter, chance_.span(stage_.day->pauseLeast, stage_.day->pauseMost));
+  const Micros pause = std::max(retryAfter, chance_.duration(stage_.day->pauseLeast, stage_.day->pauseMost));
   const bool again = mayComeAgain && now + pause < std::min(player.endsAt - 500'000, stage_.day->length) &&
-                     chance_.comes(stage_.day->comeAgain);
+                     chance_.withProbability(stage_.day->comeAgain);
   player.state = again ? Player::State::waiting : Player::State::done;
   player.wakeAt = now + pause;
 }
@@ -237,7 +239,7 @@
   if (was != Player::State::asking && was != Player::State::playing) return player.drop();
   ++tallies_.socketsLost;
   player.record().closedAt = now;
-  player.record().lostSocket = true;
+  player.record().connectionLost = true;
   const bool unsafe =
       stage_.day->deployment.terms.roomTypes[static_cast<std::size_t>(player.arrival.roomType)].effect !=
       Effect::repeatable;
@@ -247,7 +249,7 @@
     player.drop();
     player.comingBack = true;
     player.state = Player::State::waiting;
-    player.wakeAt = now + chance_.span(backLeast, backMost);
+    player.wakeAt = now + chance_.duration(backLeast, backMost);
     return;
   }
   over(player, 0, true);
@@ -287,7 +289,7 @@
           player->drop();
           player->comingBack = true;
           player->state = Player::State::waiting;
-          player->wakeAt = now + chance_.span(backLeast, backMost);
+          player->wakeAt = now + chance_.duration(backLeast, backMost);
           break;
         }
         if (player->arrival.manner == Manner::plain || player->arrival.manner == Manner::closer ||
--- a/src/lab/players.h
+++ b/src/lab/players.h
@@ -43,7 +43,7 @@
 
   Stage& stage_;
   const Processes& processes_;
-  Chance chance_;
+  RandomSource chance_;
   std::vector<Arrival> arrivals_;
   std::size_t next_ = 0;
   std::map<int, std::unique_ptr<Player>> players_;
--- a/src/lab/processes.cpp
+++ b/src/lab/processes.cpp
@@ -172,7 +172,7 @@
   if (p.stoppedAt >= 0) go(place, now, record);
   ::kill(p.pid, SIGKILL);
   reap(p.pid);
-  record.downs.push_back({place, p.run, now});
+  record.directorKills.push_back({place, p.run, now});
   p.pid = 0;
   p.players = p.admin = 0;
 }
@@ -188,7 +188,7 @@
   Place& p = places_[static_cast<std::size_t>(place)];
   if (p.pid <= 0 || p.stoppedAt < 0) return;
   ::kill(p.pid, SIGCONT);
-  record.stood.push_back({place, p.run, p.stoppedAt, now});
+  record.directorStalls.push_back({place, p.run, p.stoppedAt, now});
   p.stoppedAt = -1;
 }
 
--- a/src/lab/run.cpp
+++ b/src/lab/run.cpp
@@ -77,8 +77,8 @@
   void loop(const std::function<bool()>& until);
   RunResult verdict(bool clean);
 
-  void happened(history::What what, int who, double much = 0) {
-    if (begun_) history_.happenings.push_back({stage_.now(), what, who, much, 0, 0, 0, 0});
+  void happened(history::EventKind what, int who, double much = 0) {
+    if (begun_) history_.events.push_back({stage_.now(), what, who, much, 0, 0, 0, 0});
   }
   void keepHistory();
 
@@ -88,9 +88,9 @@
   bool begun_ = false;
   net::EventBase base_;
   audit::Record record_;
-  model::World world_;
+  model::LinkModel world_;
   Stage stage_;
-  Chance chance_;
+  RandomSource chance_;
   std::string folder_;
   Processes processes_;
   std::vector<std::unique_ptr<StandIn>> nodes_;
@@ -119,19 +119,20 @@
   nodes_.push_back(std::make_unique<StandIn>(stage_, id, cell, "zone" + std::to_string(cell % day_.zones),
                                              cold, options_.seed));
   byCell_[static_cast<std::size_t>(cell)] = nodes_.back().get();
-  if (cold) happened(history::What::start, static_cast<int>(id), cell);
+  if (cold) happened(history::EventKind::startNode, static_cast<int>(id), cell);
   return *nodes_.back();
 }
 
 void Laboratory::retire(StandIn& node) {
   if (node.dead()) return;
-  happened(history::What::kill, static_cast<int>(node.node));
+  happened(history::EventKind::killNode, static_cast<int>(node.node));
   node.kill();
 }
 
 void Laboratory::list(NodeId node, NodeState state) {
   if (state != NodeState::ready)
-    happened(state == NodeState::gone ? history::What::gone : history::What::drain, static_cast<int>(node));
+    happened(state == NodeState::gone ? history::EventKind::unlistNode : history::EventKind::drainNode,
+             static_cast<int>(node));
   if (state == NodeState::gone)
     listed_.erase(node);
   else
@@ -169,13 +170,13 @@
   for (const auto& start : record_.starts) {
     const auto it = listed_.find(start.node);
     const NodeState state = it == listed_.end() ? NodeState::gone : it->second.state;
-    record_.words.push_back({start.node, now, state});
+    record_.listedStates.push_back({start.node, now, state});
   }
 }
 
 std::vector<std::size_t> Laboratory::someNodes(double share) {
   const auto all = static_cast<std::size_t>(day_.nodes);
-  return chance_.some(
+  return chance_.sample(
       all, std::max<std::size_t>(1, static_cast<std::size_t>(share * static_cast<double>(all) + 0.5)));
 }
 
@@ -203,10 +204,10 @@
   const auto on = [&](const std::vector<std::size_t>& cells, auto begin, auto finish) {
     const auto tell = [this, kind = t.kind](const StandIn& n, double much) {
       const auto id = static_cast<int>(n.node);
-      if (kind == Kind::hang) happened(history::What::hang, id, much > 0);
-      if (kind == Kind::answersLost) happened(history::What::lose, id, much > 0);
-      if (kind == Kind::fastErrors) happened(history::What::fail, id, much);
-      if (kind == Kind::linkCut) happened(history::What::linkCut, id, much);
+      if (kind == Kind::hang) happened(history::EventKind::stallNode, id, much > 0);
+      if (kind == Kind::answersLost) happened(history::EventKind::loseAnswers, id, much > 0);
+      if (kind == Kind::fastErrors) happened(history::EventKind::failJoins, id, much);
+      if (kind == Kind::linkCut) happened(history::EventKind::reduceLink, id, much);
     };
     for (const std::size_t cell : cells) {
       later(t.at, [this, cell, begin, tell, much = std::max(t.much, 1e-3)] {
@@ -247,7 +248,7 @@
       const auto racks = static_cast<std::size_t>(std::max(1, day_.deployment.terms.racks));
       const auto n =
           std::max<std::size_t>(1, static_cast<std::size_t>(t.share * static_cast<double>(racks) + 0.5));
-      for (const std::size_t rack : chance_.some(racks, n)) {
+      for (const std::size_t rack : chance_.sample(racks, n)) {
         later(t.at,
               [this, rack, much = t.much] { world_.cutUplink(static_cast<int>(rack), std::max(1.0, much)); });
         later(end, [this, rack] { world_.cutUplink(static_cast<int>(rack), 1); });
@@ -256,7 +257,7 @@
     }
     case Kind::drain:
       for (const std::size_t cell : someNodes(t.share))
-        drainAndReplace(static_cast<int>(cell), t.at + chance_.span(0, t.span), true);
+        drainAndReplace(static_cast<int>(cell), t.at + chance_.duration(0, t.span), true);
       return;
     case Kind::wave: {
       const std::vector<std::size_t> cells = someNodes(t.share);
@@ -278,11 +279,11 @@
     case Kind::listStale:
       later(t.at, [this, end, span = t.span] {
         for (int d = 0; d < day_.directors; ++d)
-          happened(history::What::late, d, static_cast<double>(span) / millisecond);
+          happened(history::EventKind::delayList, d, static_cast<double>(span) / millisecond);
         staleUntil_ = end;
       });
       later(end, [this] {
-        for (int d = 0; d < day_.directors; ++d) happened(history::What::late, d, 0);
+        for (int d = 0; d < day_.directors; ++d) happened(history::EventKind::delayList, d, 0);
       });
       return;
     case Kind::reportsLate:
@@ -294,18 +295,18 @@
       const auto all = static_cast<std::size_t>(day_.directors);
       const auto n =
           std::max<std::size_t>(1, static_cast<std::size_t>(t.share * static_cast<double>(all) + 0.5));
-      const std::vector<std::size_t> hit = chance_.some(all, n);
+      const std::vector<std::size_t> hit = chance_.sample(all, n);
       for (std::size_t i = 0; i < hit.size(); ++i) {
         const int place = static_cast<int>(hit[i]);
         const Micros at = t.kind == Kind::directorKill
                               ? t.at
                               : t.at + static_cast<Micros>(i) * t.span / static_cast<Micros>(hit.size());
         later(at, [this, place] {
-          happened(history::What::down, place);
+          happened(history::EventKind::killDirector, place);
           processes_.kill(place, stage_.now(), record_);
         });
         later(at + downTime, [this, place] {
-          happened(history::What::up, place);
+          happened(history::EventKind::startDirector, place);
           processes_.start(place);
         });
       }
@@ -315,13 +316,13 @@
       const auto all = static_cast<std::size_t>(day_.directors);
       const auto n =
           std::max<std::size_t>(1, static_cast<std::size_t>(t.share * static_cast<double>(all) + 0.5));
-      for (const std::size_t place : chance_.some(all, n)) {
+      for (const std::size_t place : chance_.sample(all, n)) {
         later(t.at, [this, place] {
-          happened(history::What::stand, static_cast<int>(place), 1);
+          happened(history::EventKind::stallDirector, static_cast<int>(place), 1);
           processes_.stop(static_cast<int>(place), stage_.now());
         });
         later(end, [this, place] {
-          happened(history::What::stand, static_cast<int>(place), 0);
+          happened(history::EventKind::stallDirector, static_cast<int>(place), 0);
           processes_.go(static_cast<int>(place), stage_.now(), record_);
         });
       }
@@ -384,13 +385,13 @@
   const Micros early = stage_.now();
   stage_.zero += early;
   for (auto& start : record_.starts) start.at -= early;
-  for (auto& word : record_.words) word.at -= early;
+  for (auto& word : record_.listedStates) word.at -= early;
   steppedAt_ = lookedAt_ = 0;
   begun_ = true;
   for (const Trouble& trouble : day_.troubles) script(trouble);
   crowd_ = std::make_unique<Crowd>(stage_, processes_, drawArrivals(day_, options_.seed), options_.seed);
   loop([this] { return stage_.now() >= day_.length; });
-  world_.stopEarning();
+  world_.stopEarningBenefit();
   const Micros ends = stage_.now();
   loop([&] { return (crowd_->done() && acts_.empty()) || stage_.now() > ends + settleTime; });
   const bool clean = processes_.end();
@@ -409,16 +410,18 @@
   history_.nodes = day_.nodes;
   history_.zones = day_.zones;
   history_.linkKb = day_.linkKb;
-  history_.setUpLeast = day_.setUpLeast;
-  history_.setUpMost = day_.setUpMost;
+  history_.minSetUpTime = day_.setUpLeast;
+  history_.maxSetUpTime = day_.setUpMost;
   for (const Arrival& a : drawArrivals(day_, options_.seed)) {
-    history_.happenings.push_back(
-        {a.at, history::What::wish, a.viewer, 0, a.roomType, a.title, a.top, a.length});
+    history_.events.push_back(
+        {a.at, history::EventKind::request, a.viewer, 0, a.roomType, a.title, a.top, a.length});
     if (a.manner == Manner::closer)
-      history_.happenings.push_back({a.at + 60 * millisecond, history::What::cut, a.viewer, 0, 0, 0, 0, 0});
+      history_.events.push_back(
+          {a.at + 60 * millisecond, history::EventKind::disconnect, a.viewer, 0, 0, 0, 0, 0});
   }
-  std::stable_sort(history_.happenings.begin(), history_.happenings.end(),
-                   [](const history::Happening& a, const history::Happening& b) { return a.at < b.at; });
+  std::stable_sort(
+      history_.events.begin(), history_.events.end(),
+      [](const history::HistoryEvent& a, const history::HistoryEvent& b) { return a.at < b.at; });
   std::ofstream out(options_.historyFile);
   history::write(out, history_);
   if (!out.flush()) throw std::runtime_error(options_.historyFile + ": cannot be written");
@@ -426,21 +429,21 @@
 
 RunResult Laboratory::verdict(bool clean) {
   RunResult result;
-  audit::Statistics statistics;
-  statistics.terms = day_.deployment.terms;
+  audit::CheckSettings statistics;
+  statistics.controlSettings = day_.deployment.terms;
   statistics.clientTimeouts = day_.deployment.clientTimeouts;
   statistics.grace = day_.deployment.bounds.grace;
-  statistics.answerSlack = day_.answerSlack;
-  statistics.orderSlack = 250 * millisecond;
-  statistics.listLook = day_.deployment.lookEvery + 400 * millisecond;
+  statistics.answerTolerance = day_.answerSlack;
+  statistics.orderTolerance = 250 * millisecond;
+  statistics.maxListDelay = day_.deployment.lookEvery + 400 * millisecond;
   result.rows = audit::check(record_, statistics);
   result.tallies = crowd_->tallies();
   double earned = 0;
-  for (const auto& [viewer, benefit] : world_.earned()) earned += benefit;
+  for (const auto& [viewer, benefit] : world_.earnedBenefit()) earned += benefit;
   result.service = result.tallies.offered > 0 ? earned / result.tallies.offered : 0;
   result.setUps = record_.setUps.size();
-  result.fallen = record_.nodesFallen.size();
-  result.stepsPerMinute = world_.playedSeconds() > 0 ? world_.steps() * 60 / world_.playedSeconds() : 0;
+  result.fallen = record_.overloadedNodes.size();
+  result.stepsPerMinute = world_.playedSeconds() > 0 ? world_.rungChanges() * 60 / world_.playedSeconds() : 0;
   result.directorCpuSeconds = processes_.cpuSeconds();
   result.cleanEnd = clean;
   return result;
@@ -450,12 +453,12 @@
 
 std::size_t RunResult::broken() const {
   std::size_t n = 0;
-  for (const audit::Row& row : rows) n += row.broken;
+  for (const audit::RuleResult& row : rows) n += row.violations;
   return n;
 }
 std::size_t RunResult::untested() const {
   return static_cast<std::size_t>(
-      std::count_if(rows.begin(), rows.end(), [](const audit::Row& r) { return r.tested == 0; }));
+      std::count_if(rows.begin(), rows.end(), [](const audit::RuleResult& r) { return r.tested == 0; }));
 }
 
 RunResult runDay(const RunOptions& options) {
@@ -486,11 +489,11 @@
   std::snprintf(line, sizeof line, "%-22s %8s %8s   %s\n", "rule", "tested", "broken",
                 "nearest to its limit");
   out += line;
-  for (const audit::Row& row : r.rows) {
-    std::snprintf(line, sizeof line, "%-22s %8zu %8zu   %s\n", row.rule.c_str(), row.tested, row.broken,
-                  row.nearest.c_str());
+  for (const audit::RuleResult& row : r.rows) {
+    std::snprintf(line, sizeof line, "%-22s %8zu %8zu   %s\n", row.rule.c_str(), row.tested, row.violations,
+                  row.closestCase.c_str());
     out += line;
-    for (const std::string& words : row.first) out += "    " + words + "\n";
+    for (const std::string& words : row.firstViolations) out += "    " + words + "\n";
   }
   const Tallies& t = r.tallies;
   std::snprintf(
--- a/src/lab/run.h
+++ b/src/lab/run.h
@@ -19,7 +19,7 @@
 };
 
 struct RunResult {
-  std::vector<audit::Row> rows;
+  std::vector<audit::RuleResult> rows;
   Tallies tallies;
   double service = 0;  // benefit within the objective over benefit asked
   std::size_t setUps = 0, fallen = 0;
--- a/src/lab/stand_in.cpp
+++ b/src/lab/stand_in.cpp
@@ -142,7 +142,7 @@
   session->setUpCseq = message.cseq();
   if (connection.director.empty()) connection.director = directorOf(message.header("User-Agent"));
   const Micros now = stage_.now();
-  audit::SetUpSeen seen;
+  audit::SetUpObservation seen;
   seen.at = now;
   seen.node = node;
   seen.director = connection.director;
@@ -158,8 +158,8 @@
   sessions_.push_back(std::move(session));
   if (fallsOver(now)) {
     fallen_ = true;
-    stage_.record->nodesFallen.push_back("node " + std::to_string(node) + " at " +
-                                         std::to_string(now / 1000) + " ms");
+    stage_.record->overloadedNodes.push_back("node " + std::to_string(node) + " at " +
+                                             std::to_string(now / 1000) + " ms");
     kill();
   }
 }
@@ -208,35 +208,35 @@
 }
 
 void StandIn::startSetUp(Session& session) {
-  audit::SetUpSeen& seen = stage_.record->setUps[session.seen];
+  audit::SetUpObservation& seen = stage_.record->setUps[session.seen];
   const ControlSettings& t = stage_.day->deployment.terms;
   int status = 0;
   if (faults.draining) status = 503;
   if (status == 0 && stage_.world->streams(node) >= static_cast<std::size_t>(t.slotsByKind[0])) status = 453;
   if (status == 0 && t.refusalThreshold > 0 && stage_.world->load(node, 0).link >= t.refusalThreshold)
     status = 453;
-  if (status == 0 && chance_.comes(faults.fail)) status = 500;
+  if (status == 0 && chance_.withProbability(faults.fail)) status = 500;
   if (status != 0) {
     if (status != 500) seen.refusedAt = stage_.now();
     seen.answeredAt = stage_.now();
     answer(*session.connection, status, session.setUpCseq, "", true);
     return end(session);
   }
-  Micros takes = chance_.span(stage_.day->setUpLeast, stage_.day->setUpMost);
-  if (chance_.comes(faults.slow)) takes *= 20;
+  Micros takes = chance_.duration(stage_.day->setUpLeast, stage_.day->setUpMost);
+  if (chance_.withProbability(faults.slow)) takes *= 20;
   session.runAt = stage_.now() + takes;
 }
 
 void StandIn::runIt(Session& session) {
   const Micros now = stage_.now();
-  audit::SetUpSeen& seen = stage_.record->setUps[session.seen];
+  audit::SetUpObservation& seen = stage_.record->setUps[session.seen];
   session.ran = true;
   seen.ranAt = now;
   session.id = std::to_string(node) + "-" + std::to_string(++nextSession_);
   session.until = now + stage_.lengthLeft(session.viewer);
   session.stream =
-      stage_.world->play(node, std::atoi(session.viewer.c_str() + 1), session.roomType, session.rung,
-                         session.title, stage_.inTime(session.viewer, session.roomType));
+      stage_.world->startStream(node, std::atoi(session.viewer.c_str() + 1), session.roomType, session.rung,
+                                session.title, stage_.inTime(session.viewer, session.roomType));
   if (faults.loseAnswers) return;
   seen.answeredAt = now;
   answer(*session.connection, 200, session.setUpCseq, session.id, true);
@@ -247,7 +247,7 @@
   if (session.ended) return;
   session.ended = true;
   stage_.record->setUps[session.seen].endedAt = stage_.now();
-  if (session.stream != 0) stage_.world->stop(session.stream);
+  if (session.stream != 0) stage_.world->stopStream(session.stream);
 }
 
 LoadReport StandIn::report(Micros late) const {
--- a/src/lab/stand_in.h
+++ b/src/lab/stand_in.h
@@ -28,7 +28,7 @@
 struct Stage {
   event_base* base = nullptr;
   const Day* day = nullptr;
-  model::World* world = nullptr;
+  model::LinkModel* world = nullptr;
   audit::Record* record = nullptr;
   Micros zero = 0;     // the day's start on the monotonic clock
   Micros laterBy = 0;  // notes and reports, while they come late
@@ -72,7 +72,7 @@
     Micros until = 0;
     bool ran = false;
     bool ended = false;
-    model::Stream stream = 0;
+    model::StreamId stream = 0;
   };
   static void onAccept(evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* me);
   static void onRead(bufferevent*, void* me);
@@ -93,7 +93,7 @@
   LoadReport report(Micros late) const;
 
   Stage& stage_;
-  model::Chance chance_;
+  model::RandomSource chance_;
   net::Listener listener_;
   int port_ = 0;
   bool dead_ = false;
--- a/src/model/chance.cpp
+++ b/src/model/chance.cpp
@@ -4,7 +4,7 @@
 
 namespace lupinsill::model {
 
-std::vector<std::size_t> Chance::some(std::size_t of, std::size_t n) {
+std::vector<std::size_t> RandomSource::sample(std::size_t of, std::size_t n) {
   std::vector<std::size_t> all(of);
   for (std::size_t i = 0; i < of; ++i) all[i] = i;
   n = std::min(n, of);
--- a/src/model/world.cpp
+++ b/src/model/world.cpp
@@ -7,7 +7,7 @@
 constexpr Micros pastKept = 6'000'000;
 }
 
-World::World(const ControlSettings& terms, const LinkPlan& plan, std::uint64_t seed)
+LinkModel::LinkModel(const ControlSettings& terms, const LinkParameters& plan, std::uint64_t seed)
     : terms_(terms), plan_(plan), chance_(seed, 2) {
   for (int rack = 0; rack < std::max(1, terms.racks); ++rack) {
     uplinkFactor_[rack] = 1 + chance_.between(-plan.spread, plan.spread);
@@ -16,7 +16,7 @@
   for (int title = 0; title < plan.titles; ++title) titleFactor_[title] = 1 + chance_.between(-0.15, 0.15);
 }
 
-void World::addNode(NodeId node, int cell, Micros startedAt, bool coldStart) {
+void LinkModel::addNode(NodeId node, int cell, Micros startedAt, bool coldStart) {
   Node& n = nodes_[node];
   n.cell = cell;
   n.startedAt = startedAt;
@@ -24,12 +24,12 @@
   n.factor = 1 + chance_.between(-plan_.spread, plan_.spread) / 2;
 }
 
-void World::removeNode(NodeId node) {
+void LinkModel::removeNode(NodeId node) {
   std::erase_if(streams_, [&](const auto& s) { return s.second.node == node; });
   nodes_.erase(node);
 }
 
-double World::warmth(NodeId node, Micros now) const {
+double LinkModel::warmth(NodeId node, Micros now) const {
   const Node& n = nodes_.at(node);
   const ControlSettings& t = terms_;
   if (!n.coldStart) return 1;
@@ -37,14 +37,14 @@
   return t.startCapacity + (1 - t.startCapacity) * std::clamp(age, 0.0, 1.0);
 }
 
-Stream World::play(NodeId node, int viewer, int roomType, int rung, int title, bool earns) {
+StreamId LinkModel::startStream(NodeId node, int viewer, int roomType, int rung, int title, bool earns) {
   const auto it = titleFactor_.find(title);
   streams_[++next_] = {node, viewer, roomType, rung, it == titleFactor_.end() ? 1.0 : it->second, earns};
   ++nodes_[node].streams;
   return next_;
 }
 
-void World::setRung(Stream stream, int rung) {
+void LinkModel::setRung(StreamId stream, int rung) {
   const auto it = streams_.find(stream);
   if (it == streams_.end() || it->second.rung == rung) return;
   const ControlSettings& t = terms_;
@@ -54,19 +54,19 @@
   if (it->second.earns && earning_) earned_[it->second.viewer] -= t.switchSeconds * room.benefit;
 }
 
-void World::stop(Stream stream) {
+void LinkModel::stopStream(StreamId stream) {
   const auto it = streams_.find(stream);
   if (it == streams_.end()) return;
   --nodes_[it->second.node].streams;
   streams_.erase(it);
 }
 
-std::size_t World::streams(NodeId node) const {
+std::size_t LinkModel::streams(NodeId node) const {
   const auto it = nodes_.find(node);
   return it == nodes_.end() ? 0 : it->second.streams;
 }
 
-void World::step(Micros now) {
+void LinkModel::step(Micros now) {
   const double seconds = last_ == 0 ? 0 : static_cast<double>(now - last_) / 1e6;
   last_ = now;
   const ControlSettings& t = terms_;
@@ -102,7 +102,7 @@
   }
 }
 
-NodeLoad World::load(NodeId node, Micros late) const {
+NodeLoad LinkModel::load(NodeId node, Micros late) const {
   const auto it = nodes_.find(node);
   if (it == nodes_.end() || it->second.past.empty()) return {};
   const auto& past = it->second.past;
--- a/src/model/world.h
+++ b/src/model/world.h
@@ -13,7 +13,7 @@
 
 namespace lupinsill::model {
 
-using Stream = std::uint64_t;
+using StreamId = std::uint64_t;
 
 struct NodeLoad {
   double link = 0;       // asked over given
@@ -22,23 +22,23 @@
 };
 
 // What a fleet's links are like, beside what the deployment's terms state.
-struct LinkPlan {
+struct LinkParameters {
   double linkKb = 0;  // the mean link of a warm node
   double spread = 0;  // of links and uplinks about their means
   int titles = 0;
 };
 
-class World {
+class LinkModel {
  public:
-  World(const ControlSettings& terms, const LinkPlan& plan, std::uint64_t seed);
+  LinkModel(const ControlSettings& terms, const LinkParameters& plan, std::uint64_t seed);
 
   void addNode(NodeId node, int cell, Micros startedAt, bool coldStart);
   void removeNode(NodeId node);
-  Stream play(NodeId node, int viewer, int roomType, int rung, int title, bool earns);
-  void setRung(Stream stream, int rung);
-  void stop(Stream stream);
+  StreamId startStream(NodeId node, int viewer, int roomType, int rung, int title, bool earns);
+  void setRung(StreamId stream, int rung);
+  void stopStream(StreamId stream);
   void step(Micros now);
-  void stopEarning() { earning_ = false; }  // the day is over; what plays goes on
+  void stopEarningBenefit() { earning_ = false; }  // the day is over; what plays goes on
 
   void cutLink(NodeId node, double times) { nodes_[node].cut = times; }
   void cutUplink(int rack, double times) { uplinkCut_[rack] = times; }
@@ -47,8 +47,8 @@
   std::size_t streams(NodeId node) const;
   double warmth(NodeId node, Micros now) const;
 
-  const std::map<int, double>& earned() const { return earned_; }
-  double steps() const { return rungSteps_; }
+  const std::map<int, double>& earnedBenefit() const { return earned_; }
+  double rungChanges() const { return rungSteps_; }
   double playedSeconds() const { return playedSeconds_; }
 
  private:
@@ -71,14 +71,14 @@
     bool earns;
   };
   ControlSettings terms_;
-  LinkPlan plan_;
-  Chance chance_;
+  LinkParameters plan_;
+  RandomSource chance_;
   std::map<NodeId, Node> nodes_;
-  std::map<Stream, Playing> streams_;
+  std::map<StreamId, Playing> streams_;
   std::map<int, double> uplinkFactor_, uplinkCut_;
   std::map<int, double> titleFactor_;
   std::map<int, double> earned_;
-  Stream next_ = 0;
+  StreamId next_ = 0;
   Micros last_ = 0;
   bool earning_ = true;
   double rungSteps_ = 0;
--- a/tests/audit_test.cpp
+++ b/tests/audit_test.cpp
@@ -11,29 +11,29 @@
 constexpr Micros ms = 1'000;
 constexpr Micros second = 1'000'000;
 
-Statistics statistics() {
-  Statistics f;
+CheckSettings statistics() {
+  CheckSettings f;
   RoomType clip, paid;
   paid.effect = Effect::once;
   paid.floor = 1;
   paid.seats = 2;
-  f.terms.roomTypes = {clip, paid};
-  f.terms.slotsByKind = {20};
-  f.terms.coldTime = 8 * second;
-  f.terms.fallTime = 2 * second;
-  f.terms.startCapacity = 0.4;
-  f.terms.overloadFactor = 3;
-  f.terms.retryBudget = RetryBudget{2, 0.1, 5 * second};
+  f.controlSettings.roomTypes = {clip, paid};
+  f.controlSettings.slotsByKind = {20};
+  f.controlSettings.coldTime = 8 * second;
+  f.controlSettings.fallTime = 2 * second;
+  f.controlSettings.startCapacity = 0.4;
+  f.controlSettings.overloadFactor = 3;
+  f.controlSettings.retryBudget = RetryBudget{2, 0.1, 5 * second};
   f.clientTimeouts = {4 * second, 3 * second};
   f.grace = 800 * ms;
-  f.answerSlack = 500 * ms;
-  f.orderSlack = 250 * ms;
-  f.listLook = 200 * ms;
+  f.answerTolerance = 500 * ms;
+  f.orderTolerance = 250 * ms;
+  f.maxListDelay = 200 * ms;
   return f;
 }
 
-SetUpSeen setUp(Micros at, NodeId node, const std::string& sub, int room, const std::string& key) {
-  SetUpSeen s;
+SetUpObservation setUp(Micros at, NodeId node, const std::string& sub, int room, const std::string& key) {
+  SetUpObservation s;
   s.at = at;
   s.node = node;
   s.director = "d0-x";
@@ -48,8 +48,8 @@
   return s;
 }
 
-AskSeen ask(Micros at, int room, const std::string& key, AskSeen::Answer::Kind kind) {
-  AskSeen a;
+RequestObservation ask(Micros at, int room, const std::string& key, RequestObservation::Answer::Kind kind) {
+  RequestObservation a;
   a.at = at;
   a.viewer = "v";
   a.idempotencyKey = key;
@@ -59,18 +59,18 @@
   return a;
 }
 
-using Kind = AskSeen::Answer::Kind;
+using Kind = RequestObservation::Answer::Kind;
 
 Record sound() {
   Record r;
-  r.asks = {ask(0, 1, "a", Kind::playing), ask(second, 0, "b", Kind::playing)};
+  r.requests = {ask(0, 1, "a", Kind::playing), ask(second, 0, "b", Kind::playing)};
   r.setUps = {setUp(10 * ms, 1, "d0-x-1", 1, "a"), setUp(second, 2, "d0-x-2", 0, "b"),
               setUp(2 * second, 3, "d0-x-2", 0, "b")};
   r.setUps[1].refusedAt = r.setUps[1].endedAt = second + 10 * ms;
   r.setUps[1].ranAt = -1;
   r.rungs = {{0, 1, 1}};
   r.starts = {{3, second, 20, true}};
-  r.words = {{1, 6 * second, NodeState::draining}};
+  r.listedStates = {{1, 6 * second, NodeState::draining}};
   return r;
 }
 
@@ -78,7 +78,7 @@
   std::vector<std::size_t> rules;
   const auto rows = check(r, statistics());
   for (std::size_t i = 0; i < rows.size(); ++i)
-    if (rows[i].broken > 0) rules.push_back(i + 1);
+    if (rows[i].violations > 0) rules.push_back(i + 1);
   return rules;
 }
 
@@ -91,23 +91,23 @@
 TEST_CASE("Each way to break a rule is seen, by that rule") {
   Record r = sound();
   SECTION("no answer") {
-    r.asks[0].answers.clear();
+    r.requests[0].answers.clear();
     CHECK(brokenBy(r) == Rules{1});
     // unless its director was killed, or the player itself left
-    r.downs = {{0, 0, second}};
+    r.directorKills = {{0, 0, second}};
     CHECK(brokenBy(r) == Rules{});
-    r.downs.clear();
-    r.asks[0].closedAt = second;
+    r.directorKills.clear();
+    r.requests[0].closedAt = second;
     CHECK(brokenBy(r) == Rules{});
   }
   SECTION("two answers") {
-    r.asks[0].answers.push_back({second, Kind::terminated});
+    r.requests[0].answers.push_back({second, Kind::terminated});
     CHECK(brokenBy(r) == Rules{1});
   }
   SECTION("an answer after the client timeout") {
-    r.asks[0].answers[0].at = 3600 * ms;
+    r.requests[0].answers[0].at = 3600 * ms;
     CHECK(brokenBy(r) == Rules{1});
-    r.stood = {{0, 0, second, 3 * second}};
+    r.directorStalls = {{0, 0, second, 3 * second}};
     CHECK(brokenBy(r) == Rules{});
   }
   SECTION("two joins out") {
@@ -121,7 +121,7 @@
     CHECK(brokenBy(r) == Rules{2});
   }
   SECTION("a paid ask throttled though it may have run") {
-    r.asks[0].answers[0].kind = Kind::throttled;
+    r.requests[0].answers[0].kind = Kind::throttled;
     CHECK(brokenBy(r) == Rules{2});
   }
   SECTION("a join after the grace") {
@@ -155,35 +155,35 @@
 
 TEST_CASE("A node that came back may be sent joins, and its second drain counts as the first did") {
   Record r = sound();
-  r.words = {{1, second, NodeState::draining}, {1, 3 * second, NodeState::ready}};
+  r.listedStates = {{1, second, NodeState::draining}, {1, 3 * second, NodeState::ready}};
   r.setUps.push_back(setUp(7 * second, 1, "d0-x-9", 0, "z"));
   CHECK(brokenBy(r) == Rules{});
-  r.words.push_back({1, 5 * second, NodeState::draining});
+  r.listedStates.push_back({1, 5 * second, NodeState::draining});
   CHECK(brokenBy(r) == Rules{3});
   // A word that only one director could read binds that one alone.
-  r.words.back().director = 1;
+  r.listedStates.back().director = 1;
   CHECK(brokenBy(r) == Rules{});
 }
 
 TEST_CASE("A mute player's ask is judged by what it heard") {
   Record r = sound();
-  r.asks[0].mute = true;
-  r.asks[0].answers.push_back({second, Kind::terminated});
+  r.requests[0].neverReads = true;
+  r.requests[0].answers.push_back({second, Kind::terminated});
   CHECK(brokenBy(r) == Rules{1});
-  r.asks[0].answers.clear();
+  r.requests[0].answers.clear();
   CHECK(brokenBy(r) == Rules{});
 }
 
 TEST_CASE("A player that closes at its very time-out, unanswered, was not answered") {
   Record r = sound();
-  r.asks[0].answers.clear();
-  r.asks[0].closedAt = r.asks[0].at + r.asks[0].timeout;
+  r.requests[0].answers.clear();
+  r.requests[0].closedAt = r.requests[0].at + r.requests[0].timeout;
   CHECK(brokenBy(r) == Rules{1});
 }
 
 TEST_CASE("Paid asks without a key are not one ask") {
   Record r = sound();
-  r.asks[0].idempotencyKey = r.setUps[0].idempotencyKey = "";
+  r.requests[0].idempotencyKey = r.setUps[0].idempotencyKey = "";
   r.setUps.push_back(setUp(20 * ms, 2, "d0-x-7", 1, ""));
   CHECK(brokenBy(r) == Rules{});
 }
--- a/tests/client_script_test.cpp
+++ b/tests/client_script_test.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-Library played(const std::string& name, const std::string& result, int setUps) {
-  Library library;
+LibraryRun played(const std::string& name, const std::string& result, int setUps) {
+  LibraryRun library;
   library.name = name;
   library.played[1] = {1, {result}};
   if (setUps > 0) library.setUps["lose.1.0." + name] = setUps;
@@ -24,7 +24,7 @@
   CHECK(compare(one(true), {played("a", "playing", 0)}).size() == 1);  // a yes without a set-up
   CHECK(compare(one(true), {played("a", "playing", 1), played("b", "unknown", 1)}).size() == 1);
   CHECK(compare(one(true), {played("a", "unknown", 0), played("b", "unknown", 1)}).size() == 1);
-  Library silent;
+  LibraryRun silent;
   silent.name = "c";
   CHECK(compare(one(true), {played("a", "playing", 1), silent}).size() == 1);
   // How often a safe wish is set up is the director's to weigh.
@@ -33,22 +33,22 @@
 
 TEST_CASE(
     "The same seed draws the same script, every plan of its kind comes, and lines come back as they went") {
-  const auto script = draw(700, 5), again = draw(700, 5), other = draw(700, 6);
+  const auto script = generate(700, 5), again = generate(700, 5), other = generate(700, 6);
   REQUIRE(script.size() == 700);
   std::map<std::string, int> seen;
   bool differs = false;
   for (std::size_t i = 0; i < script.size(); ++i) {
-    CHECK(lineOf(script[i]) == lineOf(again[i]));
-    CHECK(lineOf(readLine(lineOf(script[i]))) == lineOf(script[i]));
-    differs = differs || lineOf(script[i]) != lineOf(other[i]);
-    for (const WishLine& wish : script[i].wishes) {
-      REQUIRE(planOf(wish.title) != nullptr);
-      if (planOf(wish.title)->paidOnly) CHECK(wish.paid);
-      ++seen[planOf(wish.title)->name];
+    CHECK(toLine(script[i]) == toLine(again[i]));
+    CHECK(toLine(parseSequence(toLine(script[i]))) == toLine(script[i]));
+    differs = differs || toLine(script[i]) != toLine(other[i]);
+    for (const ScriptedRequest& wish : script[i].requests) {
+      REQUIRE(findFaultPlan(wish.title) != nullptr);
+      if (findFaultPlan(wish.title)->paidOnly) CHECK(wish.paid);
+      ++seen[findFaultPlan(wish.title)->name];
     }
   }
   CHECK(differs);
-  CHECK(seen.size() == plans().size());
-  CHECK_THROWS_AS(readLine("{}"), std::runtime_error);
-  CHECK_THROWS_AS(readLine("nonsense"), std::runtime_error);
+  CHECK(seen.size() == faultPlans().size());
+  CHECK_THROWS_AS(parseSequence("{}"), std::runtime_error);
+  CHECK_THROWS_AS(parseSequence("nonsense"), std::runtime_error);
 }
