--- a/tests/audit_test.cpp
+++ b/tests/audit_test.cpp
@@ -1,4 +1,5 @@
-// The auditor by itself: a sound record passes, and a record bent in one way fails by that rule alone.
+// Tests of the audit: a record without violations passes, and a record changed in one way fails the rule for
+// that change and no other.
 #include <catch2/catch.hpp>
 
 #include "audit/audit.h"
@@ -11,74 +12,76 @@
 constexpr Micros ms = 1'000;
 constexpr Micros second = 1'000'000;
 
-CheckSettings statistics() {
-  CheckSettings f;
+CheckSettings testSettings() {
+  CheckSettings settings;
   RoomType clip, paid;
   paid.effect = Effect::once;
   paid.floor = 1;
   paid.seats = 2;
-  f.controlSettings.roomTypes = {clip, paid};
-  f.controlSettings.slotsByKind = {20};
-  f.controlSettings.coldTime = 8 * second;
-  f.controlSettings.fallTime = 2 * second;
-  f.controlSettings.startCapacity = 0.4;
-  f.controlSettings.overloadFactor = 3;
-  f.controlSettings.retryBudget = RetryBudget{2, 0.1, 5 * second};
-  f.clientTimeouts = {4 * second, 3 * second};
-  f.grace = 800 * ms;
-  f.answerTolerance = 500 * ms;
-  f.orderTolerance = 250 * ms;
-  f.maxListDelay = 200 * ms;
-  return f;
+  settings.controlSettings.roomTypes = {clip, paid};
+  settings.controlSettings.slotsByKind = {20};
+  settings.controlSettings.coldTime = 8 * second;
+  settings.controlSettings.fallTime = 2 * second;
+  settings.controlSettings.startCapacity = 0.4;
+  settings.controlSettings.overloadFactor = 3;
+  settings.controlSettings.retryBudget = RetryBudget{2, 0.1, 5 * second};
+  settings.clientTimeouts = {4 * second, 3 * second};
+  settings.grace = 800 * ms;
+  settings.answerTolerance = 500 * ms;
+  settings.orderTolerance = 250 * ms;
+  settings.maxListDelay = 200 * ms;
+  return settings;
 }
 
-SetUpObservation setUp(Micros at, NodeId node, const std::string& sub, int room, const std::string& key) {
-  SetUpObservation s;
-  s.at = at;
-  s.node = node;
-  s.director = "d0-x";
-  s.subscription = sub;
-  s.viewer = "v";
-  s.idempotencyKey = key;
-  s.title = "t";
-  s.roomType = room;
-  s.rung = 1;
-  s.ranAt = s.answeredAt = at + 20 * ms;
-  s.endedAt = at + 5 * second;
-  return s;
+SetUpObservation setUp(Micros at, NodeId node, const std::string& subscription, int room,
+                       const std::string& idempotencyKey) {
+  SetUpObservation observed;
+  observed.at = at;
+  observed.node = node;
+  observed.director = "d0-x";
+  observed.subscription = subscription;
+  observed.viewer = "v";
+  observed.idempotencyKey = idempotencyKey;
+  observed.title = "t";
+  observed.roomType = room;
+  observed.rung = 1;
+  observed.ranAt = observed.answeredAt = at + 20 * ms;
+  observed.endedAt = at + 5 * second;
+  return observed;
 }
 
-RequestObservation ask(Micros at, int room, const std::string& key, RequestObservation::Answer::Kind kind) {
-  RequestObservation a;
-  a.at = at;
-  a.viewer = "v";
-  a.idempotencyKey = key;
-  a.roomType = room;
-  a.timeout = room == 1 ? 3 * second : 4 * second;
-  a.answers = {{at + 30 * ms, kind}};
-  return a;
+RequestObservation request(Micros at, int room, const std::string& idempotencyKey,
+                           RequestObservation::Answer::Kind kind) {
+  RequestObservation observed;
+  observed.at = at;
+  observed.viewer = "v";
+  observed.idempotencyKey = idempotencyKey;
+  observed.roomType = room;
+  observed.timeout = room == 1 ? 3 * second : 4 * second;
+  observed.answers = {{at + 30 * ms, kind}};
+  return observed;
 }
 
 using Kind = RequestObservation::Answer::Kind;
 
-Record sound() {
-  Record r;
-  r.requests = {ask(0, 1, "a", Kind::playing), ask(second, 0, "b", Kind::playing)};
-  r.setUps = {setUp(10 * ms, 1, "d0-x-1", 1, "a"), setUp(second, 2, "d0-x-2", 0, "b"),
-              setUp(2 * second, 3, "d0-x-2", 0, "b")};
-  r.setUps[1].refusedAt = r.setUps[1].endedAt = second + 10 * ms;
-  r.setUps[1].ranAt = -1;
-  r.rungs = {{0, 1, 1}};
-  r.starts = {{3, second, 20, true}};
-  r.listedStates = {{1, 6 * second, NodeState::draining}};
-  return r;
+Record validRecord() {
+  Record record;
+  record.requests = {request(0, 1, "a", Kind::playing), request(second, 0, "b", Kind::playing)};
+  record.setUps = {setUp(10 * ms, 1, "d0-x-1", 1, "a"), setUp(second, 2, "d0-x-2", 0, "b"),
+                   setUp(2 * second, 3, "d0-x-2", 0, "b")};
+  record.setUps[1].refusedAt = record.setUps[1].endedAt = second + 10 * ms;
+  record.setUps[1].ranAt = -1;
+  record.rungs = {{0, 1, 1}};
+  record.starts = {{3, second, 20, true}};
+  record.listedStates = {{1, 6 * second, NodeState::draining}};
+  return record;
 }
 
-std::vector<std::size_t> brokenBy(const Record& r) {
+std::vector<std::size_t> violatedRules(const Record& record) {
   std::vector<std::size_t> rules;
-  const auto rows = check(r, statistics());
-  for (std::size_t i = 0; i < rows.size(); ++i)
-    if (rows[i].violations > 0) rules.push_back(i + 1);
+  const auto results = check(record, testSettings());
+  for (std::size_t i = 0; i < results.size(); ++i)
+    if (results[i].violations > 0) rules.push_back(i + 1);
   return rules;
 }
 
@@ -86,104 +89,104 @@
 
 }  // namespace
 
-TEST_CASE("A sound record breaks nothing") { CHECK(brokenBy(sound()) == Rules{}); }
+TEST_CASE("A record without violations passes every rule") { CHECK(violatedRules(validRecord()) == Rules{}); }
 
-TEST_CASE("Each way to break a rule is seen, by that rule") {
-  Record r = sound();
+TEST_CASE("Each kind of violation is reported by its own rule and by no other") {
+  Record record = validRecord();
   SECTION("no answer") {
-    r.requests[0].answers.clear();
-    CHECK(brokenBy(r) == Rules{1});
-    // unless its director was killed, or the player itself left
-    r.directorKills = {{0, 0, second}};
-    CHECK(brokenBy(r) == Rules{});
-    r.directorKills.clear();
-    r.requests[0].closedAt = second;
-    CHECK(brokenBy(r) == Rules{});
+    record.requests[0].answers.clear();
+    CHECK(violatedRules(record) == Rules{1});
+    // Nothing is owed when the director was killed or the player left before its timeout.
+    record.directorKills = {{0, 0, second}};
+    CHECK(violatedRules(record) == Rules{});
+    record.directorKills.clear();
+    record.requests[0].closedAt = second;
+    CHECK(violatedRules(record) == Rules{});
   }
   SECTION("two answers") {
-    r.requests[0].answers.push_back({second, Kind::terminated});
-    CHECK(brokenBy(r) == Rules{1});
+    record.requests[0].answers.push_back({second, Kind::terminated});
+    CHECK(violatedRules(record) == Rules{1});
   }
   SECTION("an answer after the client timeout") {
-    r.requests[0].answers[0].at = 3600 * ms;
-    CHECK(brokenBy(r) == Rules{1});
-    r.directorStalls = {{0, 0, second, 3 * second}};
-    CHECK(brokenBy(r) == Rules{});
+    record.requests[0].answers[0].at = 3600 * ms;
+    CHECK(violatedRules(record) == Rules{1});
+    record.directorStalls = {{0, 0, second, 3 * second}};
+    CHECK(violatedRules(record) == Rules{});
   }
-  SECTION("two joins out") {
-    r.setUps[1].refusedAt = -1;
-    r.setUps[1].endedAt = 4 * second;
-    CHECK(brokenBy(r) == Rules{2});
+  SECTION("two joins of one subscription at the same time") {
+    record.setUps[1].refusedAt = -1;
+    record.setUps[1].endedAt = 4 * second;
+    CHECK(violatedRules(record) == Rules{2});
   }
-  SECTION("a paid ask set up twice, by two runs of a director") {
-    r.setUps.push_back(setUp(7 * second, 2, "d0-y-1", 1, "a"));
-    r.setUps.back().director = "d0-y";
-    CHECK(brokenBy(r) == Rules{2});
+  SECTION("a paid request set up twice, by two runs of a director") {
+    record.setUps.push_back(setUp(7 * second, 2, "d0-y-1", 1, "a"));
+    record.setUps.back().director = "d0-y";
+    CHECK(violatedRules(record) == Rules{2});
   }
-  SECTION("a paid ask throttled though it may have run") {
-    r.requests[0].answers[0].kind = Kind::throttled;
-    CHECK(brokenBy(r) == Rules{2});
+  SECTION("a paid request throttled though it may have run") {
+    record.requests[0].answers[0].kind = Kind::throttled;
+    CHECK(violatedRules(record) == Rules{2});
   }
-  SECTION("a join after the grace") {
-    r.setUps.push_back(setUp(7100 * ms, 1, "d0-x-9", 0, "z"));
-    CHECK(brokenBy(r) == Rules{3});
+  SECTION("a join after the grace period of a drain") {
+    record.setUps.push_back(setUp(7100 * ms, 1, "d0-x-9", 0, "z"));
+    CHECK(violatedRules(record) == Rules{3});
   }
   SECTION("a burst on a cold node") {
     for (int i = 0; i < 9; ++i)
-      r.setUps.push_back(setUp(3 * second, 3, "d0-x-" + std::to_string(20 + i), 0, "z"));
-    CHECK(brokenBy(r) == Rules{4});
+      record.setUps.push_back(setUp(3 * second, 3, "d0-x-" + std::to_string(20 + i), 0, "z"));
+    CHECK(violatedRules(record) == Rules{4});
   }
-  SECTION("a seat too many") {
-    r.setUps.push_back(setUp(second, 1, "d0-x-5", 1, "c"));
-    CHECK(brokenBy(r) == Rules{});
-    r.setUps.push_back(setUp(second, 1, "d0-x-6", 1, "d"));
-    CHECK(brokenBy(r) == Rules{5});
+  SECTION("more joins than seats") {
+    record.setUps.push_back(setUp(second, 1, "d0-x-5", 1, "c"));
+    CHECK(violatedRules(record) == Rules{});
+    record.setUps.push_back(setUp(second, 1, "d0-x-6", 1, "d"));
+    CHECK(violatedRules(record) == Rules{5});
   }
-  SECTION("a rung under the floor") {
-    r.rungs.push_back({second, 1, 0});
-    CHECK(brokenBy(r) == Rules{5});
+  SECTION("a rung below the floor") {
+    record.rungs.push_back({second, 1, 0});
+    CHECK(violatedRules(record) == Rules{5});
   }
-  SECTION("further joins over the budget") {
+  SECTION("further joins over the retry budget") {
     for (int i = 0; i < 4; ++i)
       for (int join = 0; join < 2; ++join) {
-        r.setUps.push_back(setUp(3 * second + join * ms, 2, "d0-x-" + std::to_string(30 + i), 0, "z"));
-        r.setUps.back().refusedAt = r.setUps.back().endedAt = r.setUps.back().at;
+        record.setUps.push_back(setUp(3 * second + join * ms, 2, "d0-x-" + std::to_string(30 + i), 0, "z"));
+        record.setUps.back().refusedAt = record.setUps.back().endedAt = record.setUps.back().at;
       }
-    CHECK(brokenBy(r) == Rules{6});
+    CHECK(violatedRules(record) == Rules{6});
   }
 }
 
-TEST_CASE("A node that came back may be sent joins, and its second drain counts as the first did") {
-  Record r = sound();
-  r.listedStates = {{1, second, NodeState::draining}, {1, 3 * second, NodeState::ready}};
-  r.setUps.push_back(setUp(7 * second, 1, "d0-x-9", 0, "z"));
-  CHECK(brokenBy(r) == Rules{});
-  r.listedStates.push_back({1, 5 * second, NodeState::draining});
-  CHECK(brokenBy(r) == Rules{3});
-  // A word that only one director could read binds that one alone.
-  r.listedStates.back().director = 1;
-  CHECK(brokenBy(r) == Rules{});
+TEST_CASE("A node that is ready again may get joins, and its second drain is checked like the first") {
+  Record record = validRecord();
+  record.listedStates = {{1, second, NodeState::draining}, {1, 3 * second, NodeState::ready}};
+  record.setUps.push_back(setUp(7 * second, 1, "d0-x-9", 0, "z"));
+  CHECK(violatedRules(record) == Rules{});
+  record.listedStates.push_back({1, 5 * second, NodeState::draining});
+  CHECK(violatedRules(record) == Rules{3});
+  // A list that only one director could read binds no other director.
+  record.listedStates.back().director = 1;
+  CHECK(violatedRules(record) == Rules{});
 }
 
-TEST_CASE("A mute player's ask is judged by what it heard") {
-  Record r = sound();
-  r.requests[0].neverReads = true;
-  r.requests[0].answers.push_back({second, Kind::terminated});
-  CHECK(brokenBy(r) == Rules{1});
-  r.requests[0].answers.clear();
-  CHECK(brokenBy(r) == Rules{});
+TEST_CASE("A player that never reads its socket is checked only by the answers it received") {
+  Record record = validRecord();
+  record.requests[0].neverReads = true;
+  record.requests[0].answers.push_back({second, Kind::terminated});
+  CHECK(violatedRules(record) == Rules{1});
+  record.requests[0].answers.clear();
+  CHECK(violatedRules(record) == Rules{});
 }
 
-TEST_CASE("A player that closes at its very time-out, unanswered, was not answered") {
-  Record r = sound();
-  r.requests[0].answers.clear();
-  r.requests[0].closedAt = r.requests[0].at + r.requests[0].timeout;
-  CHECK(brokenBy(r) == Rules{1});
+TEST_CASE("A player that closes at its timeout without an answer counts as unanswered") {
+  Record record = validRecord();
+  record.requests[0].answers.clear();
+  record.requests[0].closedAt = record.requests[0].at + record.requests[0].timeout;
+  CHECK(violatedRules(record) == Rules{1});
 }
 
-TEST_CASE("Paid asks without a key are not one ask") {
-  Record r = sound();
-  r.requests[0].idempotencyKey = r.setUps[0].idempotencyKey = "";
-  r.setUps.push_back(setUp(20 * ms, 2, "d0-x-7", 1, ""));
-  CHECK(brokenBy(r) == Rules{});
+TEST_CASE("Paid requests without an idempotency key are not taken for one request") {
+  Record record = validRecord();
+  record.requests[0].idempotencyKey = record.setUps[0].idempotencyKey = "";
+  record.setUps.push_back(setUp(20 * ms, 2, "d0-x-7", 1, ""));
+  CHECK(violatedRules(record) == Rules{});
 }
