--- a/src/history/history.cpp
+++ b/src/history/history.cpp
@@ -1,3 +1,4 @@
+// Reading, writing and generating histories.
 #include "history/history.h"
 
 #include <algorithm>
@@ -13,10 +14,13 @@
 namespace lupinsill::history {
 namespace {
 
+// Random streams are numbered so that a change of one does not shift the others.
+constexpr std::uint64_t generatorStream = 77;
+
 constexpr Micros ms = 1'000;
 constexpr Micros second = 1'000'000;
 
-constexpr std::array<std::pair<const char*, EventKind>, 23> words{{
+constexpr std::array<std::pair<const char*, EventKind>, 23> eventNames{{
     {"wish", EventKind::request},           {"leave", EventKind::leave},
     {"cut", EventKind::disconnect},         {"start", EventKind::startNode},
     {"restart", EventKind::restartNode},    {"recell", EventKind::changeCell},
@@ -31,8 +35,8 @@
     {"disk", EventKind::setCommitTime},
 }};
 
-void byTime(std::vector<HistoryEvent>& list) {
-  std::stable_sort(list.begin(), list.end(),
+void sortByTime(std::vector<HistoryEvent>& events) {
+  std::stable_sort(events.begin(), events.end(),
                    [](const HistoryEvent& a, const HistoryEvent& b) { return a.at < b.at; });
 }
 
@@ -41,203 +45,216 @@
 History read(const std::string& file) {
   std::ifstream in(file);
   if (!in) throw settings::BadSettings(file + ": cannot be read");
-  History h;
-  int number = 0;
-  const auto bad = [&](const std::string& why) {
-    throw settings::BadSettings(file + ":" + std::to_string(number) + ": " + why);
+  History history;
+  int lineNumber = 0;
+  const auto fail = [&](const std::string& reason) {
+    throw settings::BadSettings(file + ":" + std::to_string(lineNumber) + ": " + reason);
   };
   for (std::string line; std::getline(in, line);) {
-    ++number;
-    std::istringstream text(line.substr(0, line.find('#')));
-    std::string first, word;
-    if (!(text >> first)) continue;
-    if (first == "settings") {
-      if (!(text >> word)) bad("a settings file expected");
-      h.settingsFile = (std::filesystem::path(file).parent_path() / word).lexically_normal().string();
-      h.deployment = settings::readDeployment(h.settingsFile);
+    ++lineNumber;
+    std::istringstream fields(line.substr(0, line.find('#')));
+    std::string keyword, value;
+    if (!(fields >> keyword)) continue;
+    if (keyword == "settings") {
+      if (!(fields >> value)) fail("a settings file expected");
+      history.settingsFile = (std::filesystem::path(file).parent_path() / value).lexically_normal().string();
+      history.deployment = settings::readDeployment(history.settingsFile);
       continue;
     }
-    if (first == "fleet") {
-      double least = 0, most = 0;
-      if (!(text >> h.directors >> h.nodes >> h.zones >> h.linkKb >> least >> most >> h.seed) ||
-          h.directors < 1 || h.nodes < 1 || h.zones < 1 || h.linkKb <= 0 || least > most)
-        bad("directors, nodes, zones, link kB, least and most ms of a set-up, seed expected");
-      h.minSetUpTime = static_cast<Micros>(least * ms);
-      h.maxSetUpTime = static_cast<Micros>(most * ms);
+    if (keyword == "fleet") {
+      double minSetUpMs = 0, maxSetUpMs = 0;
+      if (!(fields >> history.directors >> history.nodes >> history.zones >> history.linkKb >> minSetUpMs >>
+            maxSetUpMs >> history.seed) ||
+          history.directors < 1 || history.nodes < 1 || history.zones < 1 || history.linkKb <= 0 ||
+          minSetUpMs > maxSetUpMs)
+        fail("directors, nodes, zones, link kB, least and most ms of a set-up, seed expected");
+      history.minSetUpTime = static_cast<Micros>(minSetUpMs * ms);
+      history.maxSetUpTime = static_cast<Micros>(maxSetUpMs * ms);
       continue;
     }
-    if (h.settingsFile.empty()) bad("settings come first");
-    HistoryEvent one;
-    one.at = static_cast<Micros>(std::atof(first.c_str()) * ms);
-    text >> word;
-    const auto known =
-        std::find_if(words.begin(), words.end(), [&](const auto& w) { return word == w.first; });
-    if (known == words.end()) bad("unknown word '" + word + "'");
-    one.kind = known->second;
-    text >> one.subject;
-    if (one.kind == EventKind::request) {
+    if (history.settingsFile.empty()) fail("settings come first");
+    HistoryEvent event;
+    event.at = static_cast<Micros>(std::atof(keyword.c_str()) * ms);
+    fields >> value;
+    const auto entry = std::find_if(eventNames.begin(), eventNames.end(),
+                                    [&](const auto& name) { return value == name.first; });
+    if (entry == eventNames.end()) fail("unknown word '" + value + "'");
+    event.kind = entry->second;
+    fields >> event.subject;
+    if (event.kind == EventKind::request) {
       double length = 0;
-      if (!(text >> one.room >> one.title >> one.top >> length)) bad("room, title, top and length expected");
-      if (one.room < 0 || one.room >= static_cast<int>(h.deployment.terms.roomTypes.size()))
-        bad("no such room");
-      one.length = static_cast<Micros>(length * ms);
+      if (!(fields >> event.room >> event.title >> event.top >> length))
+        fail("room, title, top and length expected");
+      if (event.room < 0 || event.room >= static_cast<int>(history.deployment.terms.roomTypes.size()))
+        fail("no such room");
+      event.length = static_cast<Micros>(length * ms);
     } else {
-      text >> one.value;
+      fields >> event.value;
     }
-    h.events.push_back(one);
+    history.events.push_back(event);
   }
-  if (h.settingsFile.empty()) bad("no settings named");
-  byTime(h.events);
-  return h;
+  if (history.settingsFile.empty()) fail("no settings named");
+  sortByTime(history.events);
+  return history;
 }
 
-void write(std::ostream& out, const History& h) {
-  out << "settings " << h.settingsFile << "\n# directors nodes zones link-kb set-up-least set-up-most seed\n"
-      << "fleet " << h.directors << ' ' << h.nodes << ' ' << h.zones << ' ' << h.linkKb << ' '
-      << h.minSetUpTime / ms << ' ' << h.maxSetUpTime / ms << ' ' << h.seed << '\n';
-  for (const HistoryEvent& one : h.events) {
-    const auto word =
-        std::find_if(words.begin(), words.end(), [&](const auto& w) { return one.kind == w.second; });
-    out << one.at / ms << ' ' << word->first << ' ' << one.subject;
-    if (one.kind == EventKind::request)
-      out << ' ' << one.room << ' ' << one.title << ' ' << one.top << ' ' << one.length / ms;
+void write(std::ostream& out, const History& history) {
+  out << "settings " << history.settingsFile
+      << "\n# directors nodes zones link-kb set-up-least set-up-most seed\n"
+      << "fleet " << history.directors << ' ' << history.nodes << ' ' << history.zones << ' '
+      << history.linkKb << ' ' << history.minSetUpTime / ms << ' ' << history.maxSetUpTime / ms << ' '
+      << history.seed << '\n';
+  for (const HistoryEvent& event : history.events) {
+    const auto entry = std::find_if(eventNames.begin(), eventNames.end(),
+                                    [&](const auto& name) { return event.kind == name.second; });
+    out << event.at / ms << ' ' << entry->first << ' ' << event.subject;
+    if (event.kind == EventKind::request)
+      out << ' ' << event.room << ' ' << event.title << ' ' << event.top << ' ' << event.length / ms;
     else
-      out << ' ' << one.value;
+      out << ' ' << event.value;
     out << '\n';
   }
 }
 
 History generate(const std::string& settingsFile, std::uint64_t seed) {
-  model::RandomSource chance(seed, 77);
-  History h;
-  h.settingsFile = settingsFile;
-  h.deployment = settings::readDeployment(settingsFile);
-  h.seed = seed;
-  const ControlSettings& terms = h.deployment.terms;
-  h.directors = 1 + static_cast<int>(chance.below(4));
-  const bool blackout = seed % 8 == 0;
-  if (blackout) h.directors = 12;
-  h.nodes = std::max(1, terms.cells);
-  h.zones = 1 + static_cast<int>(chance.below(2));
-  h.linkKb = terms.weightKb * chance.between(0.3, 1.2);
-  if (chance.withProbability(0.2)) h.minSetUpTime = 100 * ms, h.maxSetUpTime = 700 * ms;
-  const Micros length = 20 * second;
-  const auto at = [&] { return chance.duration(0, length); };
-  const auto node = [&] { return 1 + static_cast<int>(chance.below(static_cast<std::size_t>(h.nodes))); };
-  const auto director = [&] { return static_cast<int>(chance.below(static_cast<std::size_t>(h.directors))); };
-  const auto add = [&](Micros when, EventKind what, int who, double much = 0) {
-    h.events.push_back({when, what, who, much, 0, 0, 0, 0});
+  model::RandomSource random(seed, generatorStream);
+  History history;
+  history.settingsFile = settingsFile;
+  history.deployment = settings::readDeployment(settingsFile);
+  history.seed = seed;
+  const ControlSettings& controlSettings = history.deployment.terms;
+  history.directors = 1 + static_cast<int>(random.below(4));
+  const bool powerCut = seed % 8 == 0;
+  if (powerCut) history.directors = 12;
+  history.nodes = std::max(1, controlSettings.cells);
+  history.zones = 1 + static_cast<int>(random.below(2));
+  history.linkKb = controlSettings.weightKb * random.between(0.3, 1.2);
+  if (random.withProbability(0.2)) history.minSetUpTime = 100 * ms, history.maxSetUpTime = 700 * ms;
+  const Micros duration = 20 * second;
+  const auto randomTime = [&] { return random.duration(0, duration); };
+  const auto randomNode = [&] {
+    return 1 + static_cast<int>(random.below(static_cast<std::size_t>(history.nodes)));
+  };
+  const auto randomDirector = [&] {
+    return static_cast<int>(random.below(static_cast<std::size_t>(history.directors)));
+  };
+  const auto addEvent = [&](Micros time, EventKind kind, int subject, double value = 0) {
+    history.events.push_back({time, kind, subject, value, 0, 0, 0, 0});
   };
-  // On for a while: a trouble and its end.
-  const auto spell = [&](EventKind what, int who, double on, double off) {
-    const Micros from = at();
-    add(from, what, who, on);
-    add(from + chance.duration(300 * ms, 6 * second), what, who, off);
+  // A fault and its end some time later.
+  const auto addTemporaryFault = [&](EventKind kind, int subject, double faultValue, double normalValue) {
+    const Micros from = randomTime();
+    addEvent(from, kind, subject, faultValue);
+    addEvent(from + random.duration(300 * ms, 6 * second), kind, subject, normalValue);
   };
-  const int wishes = 60 + static_cast<int>(chance.below(240));
-  const Micros crowdAt = at();
-  const bool crowd = chance.withProbability(0.4);
-  for (int viewer = 1; viewer <= wishes; ++viewer) {
-    HistoryEvent one;
-    one.subject = viewer;
-    one.at = crowd && viewer % 3 == 0 ? crowdAt + chance.duration(0, second) : at();
-    one.room = static_cast<int>(chance.below(terms.roomTypes.size()));
-    one.title = crowd && viewer % 3 == 0 ? 1 : static_cast<int>(chance.below(6));
-    one.top = terms.roomTypes[static_cast<std::size_t>(one.room)].top;
-    one.length = chance.duration(500 * ms, 9 * second);
-    h.events.push_back(one);
-    if (chance.withProbability(0.05)) add(one.at + chance.duration(0, 2 * second), EventKind::leave, viewer);
-    if (chance.withProbability(0.08))
-      add(one.at + chance.duration(0, 1500 * ms), EventKind::disconnect, viewer);
+  const int requestCount = 60 + static_cast<int>(random.below(240));
+  const Micros crowdStart = randomTime();
+  const bool crowd = random.withProbability(0.4);
+  for (int viewer = 1; viewer <= requestCount; ++viewer) {
+    HistoryEvent event;
+    event.subject = viewer;
+    event.at = crowd && viewer % 3 == 0 ? crowdStart + random.duration(0, second) : randomTime();
+    event.room = static_cast<int>(random.below(controlSettings.roomTypes.size()));
+    event.title = crowd && viewer % 3 == 0 ? 1 : static_cast<int>(random.below(6));
+    event.top = controlSettings.roomTypes[static_cast<std::size_t>(event.room)].top;
+    event.length = random.duration(500 * ms, 9 * second);
+    history.events.push_back(event);
+    if (random.withProbability(0.05))
+      addEvent(event.at + random.duration(0, 2 * second), EventKind::leave, viewer);
+    if (random.withProbability(0.08))
+      addEvent(event.at + random.duration(0, 1500 * ms), EventKind::disconnect, viewer);
   }
-  int fresh = h.nodes;
-  const auto replace = [&](int old, Micros when, bool drained) {
-    if (drained) add(when, EventKind::drainNode, old);
-    const Micros end = when + (drained ? chance.duration(500 * ms, 3 * second) : 0);
-    add(end, EventKind::killNode, old);
-    add(end + chance.duration(0, 500 * ms), EventKind::unlistNode, old);
-    add(end + chance.duration(0, second), EventKind::startNode, ++fresh, (old - 1) % h.nodes);
+  int lastNode = history.nodes;
+  const auto replaceNode = [&](int node, Micros time, bool drainFirst) {
+    if (drainFirst) addEvent(time, EventKind::drainNode, node);
+    const Micros end = time + (drainFirst ? random.duration(500 * ms, 3 * second) : 0);
+    addEvent(end, EventKind::killNode, node);
+    addEvent(end + random.duration(0, 500 * ms), EventKind::unlistNode, node);
+    addEvent(end + random.duration(0, second), EventKind::startNode, ++lastNode, (node - 1) % history.nodes);
   };
-  for (std::size_t n = 1 + chance.below(6); n > 0; --n) {
-    switch (chance.below(16)) {
+  for (std::size_t remaining = 1 + random.below(6); remaining > 0; --remaining) {
+    switch (random.below(16)) {
       case 0:
       case 1:
-        replace(node(), at(), true);
+        replaceNode(randomNode(), randomTime(), true);
         break;
       case 2:
-        replace(node(), at(), false);
+        replaceNode(randomNode(), randomTime(), false);
         break;
       case 3:
-        spell(EventKind::stallNode, node(), 1, 0);
+        addTemporaryFault(EventKind::stallNode, randomNode(), 1, 0);
         break;
       case 4:
-        spell(EventKind::loseAnswers, node(), 1, 0);
+        addTemporaryFault(EventKind::loseAnswers, randomNode(), 1, 0);
         break;
       case 5:
-        spell(EventKind::failJoins, node(), chance.between(0.2, 1), 0);
+        addTemporaryFault(EventKind::failJoins, randomNode(), random.between(0.2, 1), 0);
         break;
       case 6:
-        spell(EventKind::refuseJoins, node(), 1, 0);
+        addTemporaryFault(EventKind::refuseJoins, randomNode(), 1, 0);
         break;
       case 7:
-        spell(EventKind::setConnectTime, node(), chance.between(50, 1500), 3);
+        addTemporaryFault(EventKind::setConnectTime, randomNode(), random.between(50, 1500), 3);
         break;
       case 8:
-        spell(EventKind::reduceLink, node(), chance.between(2, 4), 1);
+        addTemporaryFault(EventKind::reduceLink, randomNode(), random.between(2, 4), 1);
         break;
       case 9:
-        spell(EventKind::stopReports, node(), 1, 0);
+        addTemporaryFault(EventKind::stopReports, randomNode(), 1, 0);
         break;
       case 10:
-        add(at(), EventKind::repeatList, 0);
+        addEvent(randomTime(), EventKind::repeatList, 0);
         break;
       case 11:
-        add(at(), EventKind::partialList, 0);
+        addEvent(randomTime(), EventKind::partialList, 0);
         break;
       case 12:
-        spell(EventKind::delayList, director(), chance.between(100, 3000), 0);
+        addTemporaryFault(EventKind::delayList, randomDirector(), random.between(100, 3000), 0);
         break;
       case 13:
-        spell(EventKind::setCommitTime, director(), chance.between(20, 2500), 2);
+        addTemporaryFault(EventKind::setCommitTime, randomDirector(), random.between(20, 2500), 2);
         break;
       case 14:
-        spell(EventKind::stallDirector, director(), 1, 0);
+        addTemporaryFault(EventKind::stallDirector, randomDirector(), 1, 0);
         break;
       case 15: {
-        const int who = director();
-        const Micros when = at();
-        add(when, EventKind::killDirector, who);
-        add(when + chance.duration(100 * ms, 2 * second), EventKind::startDirector, who);
+        const int subject = randomDirector();
+        const Micros time = randomTime();
+        addEvent(time, EventKind::killDirector, subject);
+        addEvent(time + random.duration(100 * ms, 2 * second), EventKind::startDirector, subject);
         break;
       }
     }
   }
-  // Now and then a whole zone's nodes start anew at once, as after a power cut.
-  if (chance.withProbability(0.25)) {
-    const Micros when = at();
-    for (int n = 1; n <= h.nodes; n += 1 + static_cast<int>(chance.below(3))) replace(n, when, false);
+  // In a quarter of the histories many nodes are replaced at once, as after a power cut in a zone.
+  if (random.withProbability(0.25)) {
+    const Micros time = randomTime();
+    for (int node = 1; node <= history.nodes; node += 1 + static_cast<int>(random.below(3)))
+      replaceNode(node, time, false);
   }
-  if (chance.withProbability(0.3)) add(at(), EventKind::restartNode, node());
-  if (chance.withProbability(0.2))
-    add(at(), EventKind::changeCell, node(),
-        static_cast<double>(chance.below(static_cast<std::size_t>(h.nodes))));
-  // Every eighth is of many directors that all lose their power with all the nodes, in the middle of a crowd.
-  if (blackout) {
-    const Micros when = chance.duration(3 * second, 16 * second);
-    for (int n = 1; n <= h.nodes; ++n) add(when + chance.duration(0, 200 * ms), EventKind::restartNode, n);
-    for (int d = 0; d < h.directors; ++d) {
-      add(when, EventKind::killDirector, d);
-      add(when + chance.duration(100 * ms, 500 * ms), EventKind::startDirector, d);
+  if (random.withProbability(0.3)) addEvent(randomTime(), EventKind::restartNode, randomNode());
+  if (random.withProbability(0.2))
+    addEvent(randomTime(), EventKind::changeCell, randomNode(),
+             static_cast<double>(random.below(static_cast<std::size_t>(history.nodes))));
+  // In every eighth history, with many directors, all directors and nodes lose power during a crowd of
+  // requests.
+  if (powerCut) {
+    const Micros time = random.duration(3 * second, 16 * second);
+    for (int node = 1; node <= history.nodes; ++node)
+      addEvent(time + random.duration(0, 200 * ms), EventKind::restartNode, node);
+    for (int director = 0; director < history.directors; ++director) {
+      addEvent(time, EventKind::killDirector, director);
+      addEvent(time + random.duration(100 * ms, 500 * ms), EventKind::startDirector, director);
     }
-    for (int viewer = wishes + 1; viewer <= wishes + 400; ++viewer)
-      h.events.push_back({when + chance.duration(0, 3 * second), EventKind::request, viewer, 0,
-                          viewer % 3 == 0 ? 0 : -1, viewer % 6, 1, 2 * second});
-    for (HistoryEvent& one : h.events)
-      if (one.kind == EventKind::request && one.room < 0)
-        one.room = static_cast<int>(chance.below(terms.roomTypes.size()));
+    for (int viewer = requestCount + 1; viewer <= requestCount + 400; ++viewer)
+      history.events.push_back({time + random.duration(0, 3 * second), EventKind::request, viewer, 0,
+                                viewer % 3 == 0 ? 0 : -1, viewer % 6, 1, 2 * second});
+    for (HistoryEvent& event : history.events)
+      if (event.kind == EventKind::request && event.room < 0)
+        event.room = static_cast<int>(random.below(controlSettings.roomTypes.size()));
   }
-  byTime(h.events);
-  return h;
+  sortByTime(history.events);
+  return history;
 }
 
 }  // namespace lupinsill::history
--- a/src/history/play.cpp
+++ b/src/history/play.cpp
@@ -1,3 +1,5 @@
+// Simulation of directors, nodes and players for the replay of a history. All of them share one scheduler and
+// one virtual clock; events of the same time run in the order in which they were scheduled.
 #include "history/play.h"
 
 #include <algorithm>
@@ -24,918 +26,975 @@
 
 constexpr Micros ms = 1'000;
 constexpr Micros second = 1'000'000;
-constexpr Micros zero = 1'000 * second;  // a clock that has run for a while
-constexpr Micros wire = 2 * ms;          // one way, between any two
-constexpr Micros handshake = 3 * ms;     // of a player's connection
-constexpr Micros connectMost = second;   // the media edge's default
-constexpr Micros settleTime = 20 * second;
-constexpr int appsCount = 5;
-constexpr Micros housekeeping = 50 * ms;
-
-class Theatre {
+constexpr Micros startTime = 1'000 * second;  // not 0, like a clock that has been running
+constexpr Micros networkLatency = 2 * ms;     // one way, between any two processes
+constexpr Micros handshakeTime = 3 * ms;      // of a player's connection
+constexpr Micros connectTimeout = second;     // default of the connections to nodes
+constexpr Micros endMargin = 20 * second;     // simulated after the last event of the history
+constexpr int appCount = 5;  // client apps, each with a client core; viewers are spread over them
+constexpr Micros stepInterval = 50 * ms;     // of the links and the confirmation of removals
+constexpr int stepsPerReport = 20;           // nodes report measurements once a second
+constexpr Micros unlimited = 3600 * second;  // longer than any history
+constexpr double fullyDelivered = 0.98;      // share of the rates; nodes report less than that
+constexpr double linkSpread = 0.15;          // of the capacities of links, as a share of the mean
+constexpr int titleCount = 64;
+constexpr double coldTolerance = 2;  // set-ups over the limit that a cold node survives; the audit allows 1
+constexpr std::uint64_t replayStream = 78;  // of random numbers, apart from the generator's
+
+// One replay: all simulated processes, their scheduler and the record of what was observed.
+class Replay {
  public:
-  Theatre(const History& history, const std::string& plant);
+  Replay(const History& history, const std::string& faultName);
   ReplayResult play();
 
  private:
-  // ---- time ----
-  struct Later {
+  // ---- scheduler ----
+  struct ScheduledEvent {
     Micros at;
-    std::uint64_t order;
-    std::function<void()> what;
-    bool operator<(const Later& other) const {
+    std::uint64_t order;  // of scheduling, for events of the same time
+    std::function<void()> callback;
+    bool operator<(const ScheduledEvent& other) const {
       return std::pair(at, order) > std::pair(other.at, other.order);
     }
   };
-  void after(Micros span, std::function<void()> what) {
-    later_.push({now_ + span, ++order_, std::move(what)});
+  void schedule(Micros delay, std::function<void()> callback) {
+    scheduled_.push({now_ + delay, ++lastOrder_, std::move(callback)});
   }
 
   // ---- directors ----
-  struct JoinAt {
-    session::SetUp order;
+  // A join that a director has started and that has not ended.
+  struct PendingJoin {
+    session::SetUp command;
     bool written = false;
     bool connecting = false;
-    Micros process = 0;  // that it was written to, by its start
+    Micros nodeStartedAt = 0;  // start time of the node process that it was written to
   };
   struct Director {
-    int place = 0;
-    int run = 0;
-    bool up = false, stands = false;
+    int index = 0;
+    int run = 0;  // number of the process: a restart begins another run
+    bool up = false, stalled = false;
     std::string zone;
     director::Hooks hooks;
-    std::unique_ptr<fleet::Membership> list;
+    std::unique_ptr<fleet::Membership> membership;
     std::unique_ptr<session::Front> front;
-    std::unique_ptr<admission::RequestTranslator> reception;
-    std::deque<std::function<void()>> inbox;  // what waits in its sockets while it stands
-    std::map<JoinId, JoinAt> joins;
-    std::map<NodeId, Micros> connected;                         // to the process that started then
-    std::map<CallId, std::pair<int, client::AttemptId>> lines;  // app and try
-    std::map<CallId, std::size_t> asked;                        // place in the record
-    CallId nextLine = 0;
-    Micros turnAt = 0;
-    Micros listLate = 0, disk = 2 * ms;
+    std::unique_ptr<admission::RequestTranslator> translator;
+    std::deque<std::function<void()>> inbox;  // deliveries that wait while it is stalled
+    std::map<JoinId, PendingJoin> joins;
+    std::map<NodeId, Micros> connected;                         // nodes, with the start time of the process
+    std::map<CallId, std::pair<int, client::AttemptId>> calls;  // app and its attempt
+    std::map<CallId, std::size_t> recordIndexes;
+    CallId nextCallId = 0;
+    Micros nextTurnAt = 0;
+    Micros listDelay = 0, commitTime = 2 * ms;
     bool committing = false;
-    std::vector<ledger::Write> unsaved;
+    std::vector<ledger::Write> unsavedWrites;
     std::map<ledger::Digest, ledger::Record> stored;
-    fleet::NodeList kept;  // the list's copy beside it
-    bool hasKept = false;
-    std::string name() const { return "d" + std::to_string(place) + "-" + std::to_string(run); }
+    fleet::NodeList cachedList;  // the copy on its disk, which survives a restart
+    bool hasCachedList = false;
+    std::string name() const { return "d" + std::to_string(index) + "-" + std::to_string(run); }
   };
-  void boot(Director& d);
-  void die(Director& d);
-  void reach(Director& d, std::function<void()> what);  // arrives at this run, or nowhere
-  void arm(Director& d);
-  void turn(Director& d);
-  void commit(Director& d);
-  void carry(Director& d, const session::Command& order);
-  void setUp(Director& d, const session::SetUp& order);
-  void write(Director& d, JoinId key);
-  void ended(Director& d, JoinId key, Outcome outcome, bool finished);
-  void publish(std::set<NodeId> without = {});
-  void hand(Director& d, const fleet::NodeList& word, Micros late);
-  void tell(Director& d, const fleet::NodeList& word);
+  void startDirector(Director& director);
+  void killDirector(Director& director);
+  // Runs the callback at the director after the network latency; drops it when that run has ended by then.
+  void deliver(Director& director, std::function<void()> callback);
+  void scheduleTurn(Director& director);
+  void processTurn(Director& director);
+  void commit(Director& director);
+  void execute(Director& director, const session::Command& command);
+  void startJoin(Director& director, const session::SetUp& command);
+  void writeSetUp(Director& director, JoinId id);
+  void endJoin(Director& director, JoinId id, Outcome outcome, bool settled);
+  void publishList(std::set<NodeId> without = {});
+  void sendList(Director& director, const fleet::NodeList& list, Micros delay);
+  void applyList(Director& director, const fleet::NodeList& list);
 
   // ---- nodes ----
+  // A join that has reached its node.
   struct Session {
     int director = 0, run = 0;
     JoinId join = 0;
-    std::size_t seen = 0;
+    std::size_t observation = 0;  // index in the record
     int viewer = 0, room = 0, rung = 0, title = 0;
-    bool ran = false, over = false;
+    bool ran = false, ended = false;
     model::StreamId stream = 0;
   };
   struct Node {
     NodeId id = 0;
     int cell = 0;
-    NodeState listed = NodeState::ready;
-    bool alive = true, cold = false, draining = false, inList = true;
-    Micros startedAt = 0;  // what was sent to an earlier process is lost with its connection
-    bool hang = false, lose = false, refuse = false, silent = false;
-    double fail = 0;
-    Micros connect = 3 * ms;
-    std::deque<std::function<void()>> held;
+    NodeState listedState = NodeState::ready;
+    bool alive = true, cold = false, draining = false, published = true;
+    Micros startedAt = 0;  // identifies the process: messages to an earlier one are lost
+    bool stalled = false, losesAnswers = false, refusesJoins = false, reportsStopped = false;
+    double failShare = 0;  // of joins, answered with an error
+    Micros connectTime = 3 * ms;
+    std::deque<std::function<void()>> heldCallbacks;  // work that waits while the node is stalled
     std::vector<std::shared_ptr<Session>> sessions;
-    std::deque<Micros> coldSeen;
-    Micros notedAt = 0;
+    std::deque<Micros> coldSetUps;  // times of set-ups within the fall time
+    Micros reportedAt = 0;
   };
-  void begin(int cell, bool cold);
-  void arrive(Node& n, Director& d, const session::SetUp& order);
-  void process(Node& n, const std::shared_ptr<Session>& s);
-  void runIt(Node& n, const std::shared_ptr<Session>& s);
-  void over(Node& n, Session& s);
-  void killNode(Node& n);
-  void answer(Session& s, std::function<void(Director&)> what);
-  void notes(Node& n);
-  int places() const { return terms_.slotsByKind.empty() ? 1 : terms_.slotsByKind[0]; }
+  void startNode(int cell, bool cold);
+  void receiveSetUp(Node& node, Director& director, const session::SetUp& command);
+  void handleSetUp(Node& node, const std::shared_ptr<Session>& session);
+  void startSession(Node& node, const std::shared_ptr<Session>& session);
+  void endSession(Node& node, Session& session);
+  void killNode(Node& node);
+  void sendToDirector(Session& session, std::function<void(Director&)> callback);
+  void reportMeasurements(Node& node);
+  int slotsPerNode() const {
+    return controlSettings_.slotsByKind.empty() ? 1 : controlSettings_.slotsByKind[0];
+  }
 
   // ---- players ----
-  struct Wish {
-    HistoryEvent asked;
+  struct ViewerRequest {
+    HistoryEvent event;
     int app = 0;
     bool ended = false;
-    client::AttemptId playing = 0;
+    client::AttemptId playingAttempt = 0;
   };
   struct Attempt {
     int viewer = 0;
     int director = 0, run = 0;
     CallId callId = 0;
-    long asked = -1;  // place in the record
+    long observation = -1;  // index in the record; -1: request not sent
     bool open = true;
   };
-  void acts(int app);
-  void attempt(int app, const client::StartAttempt& go);
-  void hello(int app, client::AttemptId id);
-  void heard(int app, client::AttemptId id, client::Answer answer, Micros retryAfter, bool drains);
-  void closeTry(int app, client::AttemptId id, bool lost);
+  // Carries out what the client core of an app asked for, and schedules its next timer.
+  void executeActions(int app);
+  void startAttempt(int app, const client::StartAttempt& start);
+  // The director is ready on this connection: the player sends its request.
+  void receiveHello(int app, client::AttemptId id);
+  void receiveAnswer(int app, client::AttemptId id, client::Answer answer, Micros retryAfter, bool drains);
+  // `lost`: the connection broke, it was not closed by the player.
+  void closeAttempt(int app, client::AttemptId id, bool lost);
   void tickApp(int app);
 
-  void happen(const HistoryEvent& one);
-  Node* node(int id) {
+  void applyEvent(const HistoryEvent& event);
+  Node* findNode(int id) {
     const auto it = nodes_.find(static_cast<NodeId>(id));
     return it == nodes_.end() ? nullptr : it->second.get();
   }
 
-  const History& h_;
-  std::string plant_;
-  const ControlSettings& terms_;
-  Micros now_ = zero;
-  std::uint64_t order_ = 0;
-  std::priority_queue<Later> later_;
-  model::RandomSource chance_;
-  model::LinkModel world_;
+  const History& history_;
+  std::string faultName_;
+  const ControlSettings& controlSettings_;
+  Micros now_ = startTime;
+  std::uint64_t lastOrder_ = 0;
+  std::priority_queue<ScheduledEvent> scheduled_;
+  model::RandomSource random_;
+  model::LinkModel links_;
   std::vector<Director> directors_;
   std::map<NodeId, std::unique_ptr<Node>> nodes_;
   NodeId nextNode_ = 0;
   std::uint64_t version_ = 0;
-  fleet::NodeList word_, before_;
+  fleet::NodeList publishedList_, previousList_;
   std::vector<std::unique_ptr<client::Core>> apps_;
-  std::vector<std::vector<client::Action>> acts_;
-  std::map<int, Wish> wishes_;
-  std::vector<std::map<client::AttemptId, Attempt>> tries_;
-  ReplayResult out_;
+  std::vector<std::vector<client::Action>> actions_;
+  std::map<int, ViewerRequest> requests_;
+  std::vector<std::map<client::AttemptId, Attempt>> attempts_;
+  ReplayResult result_;
 };
 
-Theatre::Theatre(const History& history, const std::string& plant)
-    : h_(history),
-      plant_(plant),
-      terms_(history.deployment.terms),
-      chance_(history.seed, 78),
-      world_(terms_, {history.linkKb, 0.15, 64}, history.seed) {
-  directors_.resize(static_cast<std::size_t>(h_.directors));
-  std::vector<client::DirectorEndpoint> at;
-  for (int place = 0; place < h_.directors; ++place) {
-    directors_[static_cast<std::size_t>(place)].place = place;
-    directors_[static_cast<std::size_t>(place)].zone = "zone" + std::to_string(place % h_.zones);
-    at.push_back({"d" + std::to_string(place), "zone" + std::to_string(place % h_.zones)});
+Replay::Replay(const History& history, const std::string& faultName)
+    : history_(history),
+      faultName_(faultName),
+      controlSettings_(history.deployment.terms),
+      random_(history.seed, replayStream),
+      links_(controlSettings_, {history.linkKb, linkSpread, titleCount}, history.seed) {
+  directors_.resize(static_cast<std::size_t>(history_.directors));
+  std::vector<client::DirectorEndpoint> endpoints;
+  for (int index = 0; index < history_.directors; ++index) {
+    directors_[static_cast<std::size_t>(index)].index = index;
+    directors_[static_cast<std::size_t>(index)].zone = "zone" + std::to_string(index % history_.zones);
+    endpoints.push_back({"d" + std::to_string(index), "zone" + std::to_string(index % history_.zones)});
   }
-  acts_.resize(appsCount);
-  tries_.resize(appsCount);
-  for (int app = 0; app < appsCount; ++app) {
-    client::RetryPolicy manners;
-    manners.building = "zone" + std::to_string(app % h_.zones);
-    // Every other app waits for its director to the end: what never comes is seen then.
-    if (app % 2 == 0) manners.attemptTimeout = 3600 * second;
-    apps_.push_back(std::make_unique<client::Core>(at, manners, h_.seed * 10 + static_cast<unsigned>(app)));
+  actions_.resize(appCount);
+  attempts_.resize(appCount);
+  for (int app = 0; app < appCount; ++app) {
+    client::RetryPolicy policy;
+    policy.building = "zone" + std::to_string(app % history_.zones);
+    // Half of the apps never time out an attempt, so that a missing answer shows in the record.
+    if (app % 2 == 0) policy.attemptTimeout = unlimited;
+    apps_.push_back(
+        std::make_unique<client::Core>(endpoints, policy, history_.seed * 10 + static_cast<unsigned>(app)));
   }
 }
 
 // ---- directors ----
 
-void Theatre::boot(Director& d) {
-  ++d.run;
-  d.up = true;
-  d.stands = false;
-  d.turnAt = 0;
-  d.committing = false;
-  d.unsaved.clear();
-  if (!plant_.empty()) d.hooks = lab::hooksOf(plant_);
-  ControlSettings terms = terms_;
-  terms.zone = d.zone;
-  terms.directors = h_.directors;
-  terms.ordinal = d.place;
-  session::Limits bounds = h_.deployment.bounds;
-  bounds.guardsEnabled = d.hooks.guardsEnabled;
-  bounds.keysStored = d.hooks.recorded;
-  const std::uint64_t seed = h_.seed * 1000 + static_cast<std::uint64_t>(d.place * 50 + d.run);
-  std::unique_ptr<session::Decider> decider =
-      d.hooks.decider ? d.hooks.decider(terms, seed) : std::make_unique<session::ControlDecider>(terms, seed);
-  d.list = std::make_unique<fleet::Membership>(terms.cells, h_.deployment.leastKept, bounds.grace);
-  d.front = std::make_unique<session::Front>(terms, bounds, std::move(decider));
-  d.reception = std::make_unique<admission::RequestTranslator>(
-      admission::RequestTranslator::Names{"d" + std::to_string(d.place), h_.deployment.roomTypes,
-                                          h_.deployment.tenants, h_.deployment.clientTimeouts},
-      terms.roomTypes);
-  if (d.hooks.recorded) {
+void Replay::startDirector(Director& director) {
+  ++director.run;
+  director.up = true;
+  director.stalled = false;
+  director.nextTurnAt = 0;
+  director.committing = false;
+  director.unsavedWrites.clear();
+  if (!faultName_.empty()) director.hooks = lab::hooksOf(faultName_);
+  ControlSettings settings = controlSettings_;
+  settings.zone = director.zone;
+  settings.directors = history_.directors;
+  settings.ordinal = director.index;
+  session::Limits limits = history_.deployment.bounds;
+  limits.guardsEnabled = director.hooks.guardsEnabled;
+  limits.keysStored = director.hooks.recorded;
+  const std::uint64_t seed =
+      history_.seed * 1000 + static_cast<std::uint64_t>(director.index * 50 + director.run);
+  std::unique_ptr<session::Decider> decider = director.hooks.decider
+                                                  ? director.hooks.decider(settings, seed)
+                                                  : std::make_unique<session::ControlDecider>(settings, seed);
+  director.membership =
+      std::make_unique<fleet::Membership>(settings.cells, history_.deployment.leastKept, limits.grace);
+  director.front = std::make_unique<session::Front>(settings, limits, std::move(decider));
+  director.translator = std::make_unique<admission::RequestTranslator>(
+      admission::RequestTranslator::Names{"d" + std::to_string(director.index), history_.deployment.roomTypes,
+                                          history_.deployment.tenants, history_.deployment.clientTimeouts},
+      settings.roomTypes);
+  if (director.hooks.recorded) {
     std::vector<ledger::Record> records;
-    for (const auto& [key, record] : d.stored) records.push_back(record);
-    d.front->recover(now_, records, true);
+    for (const auto& [key, record] : director.stored) records.push_back(record);
+    director.front->recover(now_, records, true);
   }
-  d.front->listUpdated(d.hasKept ? d.list->restore(d.kept) : ListUpdate{ListKind::cachedSnapshot, {}});
-  hand(d, word_, 0);
-  turn(d);
+  director.front->listUpdated(director.hasCachedList ? director.membership->restore(director.cachedList)
+                                                     : ListUpdate{ListKind::cachedSnapshot, {}});
+  sendList(director, publishedList_, 0);
+  processTurn(director);
 }
 
-void Theatre::die(Director& d) {
-  if (!d.up) return;
-  out_.record.directorKills.push_back({d.place, d.run, now_ - zero});
-  out_.heldByGuards += [&] {
+void Replay::killDirector(Director& director) {
+  if (!director.up) return;
+  result_.record.directorKills.push_back({director.index, director.run, now_ - startTime});
+  result_.heldByGuards += [&] {
     std::size_t held = 0;
-    for (const auto n : d.front->statistics().held) held += n;
+    for (const auto count : director.front->statistics().held) held += count;
     return held;
   }();
-  d.up = false;
-  d.inbox.clear();
-  d.joins.clear();
-  d.connected.clear();
-  d.front.reset();
-  for (auto& [id, n] : nodes_)
-    for (const auto& s : n->sessions)
-      if (s->director == d.place && s->run == d.run) over(*n, *s);
-  const auto lines = std::exchange(d.lines, {});
-  for (const auto& [callId, at] : lines) {
-    const auto [app, id] = at;
-    after(wire, [this, app = app, id = id] {
-      closeTry(app, id, true);
-      apps_[static_cast<std::size_t>(app)]->failed(now_, id, acts_[static_cast<std::size_t>(app)]);
-      acts(app);
+  director.up = false;
+  director.inbox.clear();
+  director.joins.clear();
+  director.connected.clear();
+  director.front.reset();
+  for (auto& [id, node] : nodes_)
+    for (const auto& session : node->sessions)
+      if (session->director == director.index && session->run == director.run) endSession(*node, *session);
+  const auto calls = std::exchange(director.calls, {});
+  for (const auto& [callId, call] : calls) {
+    const auto [app, id] = call;
+    schedule(networkLatency, [this, app = app, id = id] {
+      closeAttempt(app, id, true);
+      apps_[static_cast<std::size_t>(app)]->failed(now_, id, actions_[static_cast<std::size_t>(app)]);
+      executeActions(app);
     });
   }
 }
 
-void Theatre::reach(Director& d, std::function<void()> what) {
-  after(wire, [this, &d, run = d.run, what = std::move(what)] {
-    if (!d.up || d.run != run) return;
-    if (d.stands) return d.inbox.push_back(what);
-    what();
-    arm(d);
+void Replay::deliver(Director& director, std::function<void()> callback) {
+  schedule(networkLatency, [this, &director, run = director.run, callback = std::move(callback)] {
+    if (!director.up || director.run != run) return;
+    if (director.stalled) return director.inbox.push_back(callback);
+    callback();
+    scheduleTurn(director);
   });
 }
 
-// A turn when one is due: at once where something came in, later for time-outs.
-void Theatre::arm(Director& d) {
-  if (!d.up || d.stands) return;
-  const Micros at = std::max(now_, d.front->due());
-  if (d.turnAt != 0 && d.turnAt <= at && d.turnAt >= now_) return;
-  d.turnAt = at;
-  after(at - now_, [this, &d, run = d.run, at] {
-    if (d.up && d.run == run && !d.stands && d.turnAt == at) turn(d);
+// Schedules the next turn for the time at which the front is due: now after input, later for its timers.
+void Replay::scheduleTurn(Director& director) {
+  if (!director.up || director.stalled) return;
+  const Micros at = std::max(now_, director.front->due());
+  if (director.nextTurnAt != 0 && director.nextTurnAt <= at && director.nextTurnAt >= now_) return;
+  director.nextTurnAt = at;
+  schedule(at - now_, [this, &director, run = director.run, at] {
+    if (director.up && director.run == run && !director.stalled && director.nextTurnAt == at)
+      processTurn(director);
   });
 }
 
-void Theatre::turn(Director& d) {
-  d.turnAt = 0;
-  if (ListUpdate told = d.list->confirmRemovals(now_); !told.entries.empty())
-    d.front->listUpdated(std::move(told));
-  std::vector<session::Command> orders;
-  d.front->processTurn(now_, orders);
-  if (d.hooks.tamper) d.hooks.tamper(now_, orders);
-  for (const session::Command& order : orders) carry(d, order);
-  if (const auto writes = d.front->takeWrites(); d.hooks.recorded) {
-    d.unsaved.insert(d.unsaved.end(), writes.begin(), writes.end());
-    commit(d);
+void Replay::processTurn(Director& director) {
+  director.nextTurnAt = 0;
+  if (ListUpdate update = director.membership->confirmRemovals(now_); !update.entries.empty())
+    director.front->listUpdated(std::move(update));
+  std::vector<session::Command> commands;
+  director.front->processTurn(now_, commands);
+  if (director.hooks.tamper) director.hooks.tamper(now_, commands);
+  for (const session::Command& command : commands) execute(director, command);
+  if (const auto writes = director.front->takeWrites(); director.hooks.recorded) {
+    director.unsavedWrites.insert(director.unsavedWrites.end(), writes.begin(), writes.end());
+    commit(director);
   }
-  arm(d);
-}
-
-// One commit at a time; what comes meanwhile goes with the next.
-void Theatre::commit(Director& d) {
-  if (d.committing || d.unsaved.empty()) return;
-  d.committing = true;
-  after(d.disk, [this, &d, run = d.run, writes = std::exchange(d.unsaved, {})] {
-    if (!d.up || d.run != run) return;  // killed before the commit
-    d.committing = false;
-    for (const ledger::Write& one : writes) {
-      if (one.record.mark == ledger::RecordState::refused)
-        d.stored.erase(one.record.key);
-      else
-        d.stored[one.record.key] = one.record;
-    }
-    commit(d);
-    const ledger::Seq seq = writes.back().seq;
-    const auto tell = [&d, seq] { d.front->durable(seq); };
-    if (d.stands) return d.inbox.push_back(tell);
-    tell();
-    arm(d);
-  });
-}
-
-void Theatre::carry(Director& d, const session::Command& order) {
-  const auto say = [&](CallId callId, audit::RequestObservation::Answer::Kind kind, client::Answer answer,
-                       Micros retryAfter, bool drains) {
-    const auto it = d.lines.find(callId);
-    if (it == d.lines.end()) return;
+  scheduleTurn(director);
+}
+
+// Commits run one at a time; writes that arrive meanwhile go into the next one.
+void Replay::commit(Director& director) {
+  if (director.committing || director.unsavedWrites.empty()) return;
+  director.committing = true;
+  schedule(director.commitTime,
+           [this, &director, run = director.run, writes = std::exchange(director.unsavedWrites, {})] {
+             if (!director.up || director.run != run) return;  // killed before the commit
+             director.committing = false;
+             for (const ledger::Write& write : writes) {
+               if (write.record.mark == ledger::RecordState::refused)
+                 director.stored.erase(write.record.key);
+               else
+                 director.stored[write.record.key] = write.record;
+             }
+             commit(director);
+             const ledger::Seq seq = writes.back().seq;
+             const auto reportDurable = [&director, seq] { director.front->durable(seq); };
+             if (director.stalled) return director.inbox.push_back(reportDurable);
+             reportDurable();
+             scheduleTurn(director);
+           });
+}
+
+void Replay::execute(Director& director, const session::Command& command) {
+  const auto sendAnswer = [&](CallId callId, audit::RequestObservation::Answer::Kind kind,
+                              client::Answer answer, Micros retryAfter, bool drains) {
+    const auto it = director.calls.find(callId);
+    if (it == director.calls.end()) return;
     const auto [app, id] = it->second;
-    if (kind != audit::RequestObservation::Answer::Kind::playing) d.lines.erase(it);
-    after(wire, [this, app = app, id = id, kind, answer, retryAfter, drains] {
-      const auto at = tries_[static_cast<std::size_t>(app)].find(id);
-      if (at == tries_[static_cast<std::size_t>(app)].end()) return;
-      // What comes after the player closed is heard by nobody.
-      if (at->second.open && at->second.asked >= 0)
-        out_.record.requests[static_cast<std::size_t>(at->second.asked)].answers.push_back(
-            {now_ - zero, kind});
-      if (at->second.open) heard(app, id, answer, retryAfter, drains);
+    if (kind != audit::RequestObservation::Answer::Kind::playing) director.calls.erase(it);
+    schedule(networkLatency, [this, app = app, id = id, kind, answer, retryAfter, drains] {
+      const auto attempt = attempts_[static_cast<std::size_t>(app)].find(id);
+      if (attempt == attempts_[static_cast<std::size_t>(app)].end()) return;
+      // An answer that arrives after the player has closed is not observed.
+      if (attempt->second.open && attempt->second.observation >= 0)
+        result_.record.requests[static_cast<std::size_t>(attempt->second.observation)].answers.push_back(
+            {now_ - startTime, kind});
+      if (attempt->second.open) receiveAnswer(app, id, answer, retryAfter, drains);
     });
   };
   using Kind = audit::RequestObservation::Answer::Kind;
-  if (const auto* p = std::get_if<session::Playing>(&order)) {
-    say(p->callId, Kind::playing, client::Answer::playing, 0, false);
-  } else if (const auto* t = std::get_if<session::Throttled>(&order)) {
-    say(t->callId, Kind::throttled, client::Answer::throttled, t->retryAfter,
-        t->reason == session::ThrottleReason::draining);
-  } else if (const auto* e = std::get_if<session::Terminated>(&order)) {
-    say(e->callId, Kind::terminated, client::Answer::terminated, 0, false);
-  } else if (const auto* end = std::get_if<session::Ended>(&order)) {
-    d.lines.erase(end->callId);
-  } else if (const auto* up = std::get_if<session::SetUp>(&order)) {
-    setUp(d, *up);
-  } else if (const auto* change = std::get_if<session::ChangeRung>(&order)) {
-    const auto it = d.joins.find(change->join);
-    if (it == d.joins.end()) return;
-    it->second.order.rung = change->rung;
+  if (const auto* playing = std::get_if<session::Playing>(&command)) {
+    sendAnswer(playing->callId, Kind::playing, client::Answer::playing, 0, false);
+  } else if (const auto* throttled = std::get_if<session::Throttled>(&command)) {
+    sendAnswer(throttled->callId, Kind::throttled, client::Answer::throttled, throttled->retryAfter,
+               throttled->reason == session::ThrottleReason::draining);
+  } else if (const auto* terminated = std::get_if<session::Terminated>(&command)) {
+    sendAnswer(terminated->callId, Kind::terminated, client::Answer::terminated, 0, false);
+  } else if (const auto* ended = std::get_if<session::Ended>(&command)) {
+    director.calls.erase(ended->callId);
+  } else if (const auto* setUp = std::get_if<session::SetUp>(&command)) {
+    startJoin(director, *setUp);
+  } else if (const auto* change = std::get_if<session::ChangeRung>(&command)) {
+    const auto it = director.joins.find(change->join);
+    if (it == director.joins.end()) return;
+    it->second.command.rung = change->rung;
     if (!it->second.written) return;
-    after(wire, [this, to = it->second.order.node, key = change->join, place = d.place, run = d.run,
-                 rung = change->rung] {
-      for (const auto& s : nodes_.at(to)->sessions)
-        if (s->join == key && s->director == place && s->run == run) {
-          s->rung = rung;
-          out_.record.rungs.push_back({now_ - zero, s->room, rung});
-          if (s->stream != 0) world_.setRung(s->stream, rung);
+    schedule(networkLatency, [this, nodeId = it->second.command.node, joinId = change->join,
+                              index = director.index, run = director.run, rung = change->rung] {
+      for (const auto& session : nodes_.at(nodeId)->sessions)
+        if (session->join == joinId && session->director == index && session->run == run) {
+          session->rung = rung;
+          result_.record.rungs.push_back({now_ - startTime, session->room, rung});
+          if (session->stream != 0) links_.setRung(session->stream, rung);
         }
     });
-  } else if (const auto* down = std::get_if<session::TearDown>(&order)) {
-    const auto it = d.joins.find(down->join);
-    if (it == d.joins.end()) return;
+  } else if (const auto* tearDown = std::get_if<session::TearDown>(&command)) {
+    const auto it = director.joins.find(tearDown->join);
+    if (it == director.joins.end()) return;
     if (it->second.written)
-      after(wire, [this, to = it->second.order.node, key = down->join, place = d.place, run = d.run] {
-        Node& n = *nodes_.at(to);
-        for (const auto& s : n.sessions)
-          if (s->join == key && s->director == place && s->run == run) over(n, *s);
+      schedule(networkLatency, [this, nodeId = it->second.command.node, joinId = tearDown->join,
+                                index = director.index, run = director.run] {
+        Node& node = *nodes_.at(nodeId);
+        for (const auto& session : node.sessions)
+          if (session->join == joinId && session->director == index && session->run == run)
+            endSession(node, *session);
       });
-    d.joins.erase(it);
-  } else if (const auto* back = std::get_if<session::Withdraw>(&order)) {
-    const auto it = d.joins.find(back->join);
-    if (it != d.joins.end() && !it->second.written) ended(d, back->join, Outcome::notSent, false);
+    director.joins.erase(it);
+  } else if (const auto* withdraw = std::get_if<session::Withdraw>(&command)) {
+    const auto it = director.joins.find(withdraw->join);
+    if (it != director.joins.end() && !it->second.written)
+      endJoin(director, withdraw->join, Outcome::notSent, false);
   }
 }
 
-void Theatre::ended(Director& d, JoinId key, Outcome outcome, bool finished) {
-  if (d.joins.erase(key) == 0) return;
-  d.front->joinEnded(key, outcome, {}, finished);
-}
-
-void Theatre::setUp(Director& d, const session::SetUp& order) {
-  d.joins[order.join].order = order;
-  Node* n = node(static_cast<int>(order.node));
-  if (n == nullptr) return ended(d, order.join, Outcome::connectFailed, false);
-  if (d.connected.contains(order.node)) return write(d, order.join);
-  d.joins[order.join].connecting = true;
-  const bool reached = n->alive && n->connect <= connectMost;
-  after(reached ? n->connect : std::min(n->connect, connectMost),
-        [this, &d, run = d.run, to = order.node, key = order.join, reached] {
-          if (!d.up || d.run != run) return;
-          const auto done = [this, &d, to, key, reached] {
-            if (!d.joins.contains(key)) return;
-            if (!reached || !nodes_.at(to)->alive) return ended(d, key, Outcome::connectFailed, false);
-            // All that wait for this connection leave in one heap, as they do on a socket.
-            d.connected[to] = nodes_.at(to)->startedAt;
-            std::vector<JoinId> waiting;
-            for (const auto& [one, join] : d.joins)
-              if (join.order.node == to && join.connecting) waiting.push_back(one);
-            for (const JoinId one : waiting) write(d, one);
-          };
-          if (d.stands) return d.inbox.push_back(done);
-          done();
-          arm(d);
-        });
-}
-
-void Theatre::write(Director& d, JoinId key) {
-  JoinAt& join = d.joins.at(key);
+void Replay::endJoin(Director& director, JoinId joinId, Outcome outcome, bool settled) {
+  if (director.joins.erase(joinId) == 0) return;
+  director.front->joinEnded(joinId, outcome, {}, settled);
+}
+
+void Replay::startJoin(Director& director, const session::SetUp& command) {
+  director.joins[command.join].command = command;
+  Node* node = findNode(static_cast<int>(command.node));
+  if (node == nullptr) return endJoin(director, command.join, Outcome::connectFailed, false);
+  if (director.connected.contains(command.node)) return writeSetUp(director, command.join);
+  director.joins[command.join].connecting = true;
+  const bool reached = node->alive && node->connectTime <= connectTimeout;
+  schedule(reached ? node->connectTime : std::min(node->connectTime, connectTimeout),
+           [this, &director, run = director.run, nodeId = command.node, joinId = command.join, reached] {
+             if (!director.up || director.run != run) return;
+             const auto onConnected = [this, &director, nodeId, joinId, reached] {
+               if (!director.joins.contains(joinId)) return;
+               if (!reached || !nodes_.at(nodeId)->alive)
+                 return endJoin(director, joinId, Outcome::connectFailed, false);
+               // All joins that wait for this connection are written at once, as on a real socket.
+               director.connected[nodeId] = nodes_.at(nodeId)->startedAt;
+               std::vector<JoinId> waiting;
+               for (const auto& [waitingId, join] : director.joins)
+                 if (join.command.node == nodeId && join.connecting) waiting.push_back(waitingId);
+               for (const JoinId waitingId : waiting) writeSetUp(director, waitingId);
+             };
+             if (director.stalled) return director.inbox.push_back(onConnected);
+             onConnected();
+             scheduleTurn(director);
+           });
+}
+
+void Replay::writeSetUp(Director& director, JoinId joinId) {
+  PendingJoin& join = director.joins.at(joinId);
   join.connecting = false;
-  if (!d.front->mayWrite(now_, key)) return ended(d, key, Outcome::notSent, false);
+  if (!director.front->mayWrite(now_, joinId)) return endJoin(director, joinId, Outcome::notSent, false);
   join.written = true;
-  join.process = d.connected.at(join.order.node);
-  after(wire, [this, &d, run = d.run, order = join.order, process = join.process] {
-    Node& n = *nodes_.at(order.node);
-    if (n.alive && n.startedAt == process && d.run == run && d.up) arrive(n, d, order);
-  });
-}
-
-// ---- the list ----
-
-void Theatre::publish(std::set<NodeId> without) {
-  before_ = word_;
-  word_ = {};
-  word_.version = ++version_;
-  for (const auto& [id, n] : nodes_) {
-    if (!n->inList || without.contains(id)) continue;
+  join.nodeStartedAt = director.connected.at(join.command.node);
+  schedule(networkLatency,
+           [this, &director, run = director.run, command = join.command, nodeStartedAt = join.nodeStartedAt] {
+             Node& node = *nodes_.at(command.node);
+             if (node.alive && node.startedAt == nodeStartedAt && director.run == run && director.up)
+               receiveSetUp(node, director, command);
+           });
+}
+
+// ---- node list ----
+
+void Replay::publishList(std::set<NodeId> without) {
+  previousList_ = publishedList_;
+  publishedList_ = {};
+  publishedList_.version = ++version_;
+  for (const auto& [id, node] : nodes_) {
+    if (!node->published || without.contains(id)) continue;
     fleet::NodeEndpoint endpoint;
     endpoint.node = id;
-    endpoint.state = n->listed;
-    endpoint.cell = n->cell;
-    endpoint.zone = "zone" + std::to_string(n->cell % h_.zones);
-    endpoint.readyAt = n->cold ? n->startedAt : 0;
-    word_.endpoints.push_back(endpoint);
+    endpoint.state = node->listedState;
+    endpoint.cell = node->cell;
+    endpoint.zone = "zone" + std::to_string(node->cell % history_.zones);
+    endpoint.readyAt = node->cold ? node->startedAt : 0;
+    publishedList_.endpoints.push_back(endpoint);
   }
-  for (Director& d : directors_) hand(d, word_, d.listLate);
+  for (Director& director : directors_) sendList(director, publishedList_, director.listDelay);
 }
 
-void Theatre::hand(Director& d, const fleet::NodeList& word, Micros late) {
-  after(late, [this, &d, run = d.run, word] {
-    if (d.up && d.run == run) reach(d, [this, &d, word] { tell(d, word); });
+void Replay::sendList(Director& director, const fleet::NodeList& list, Micros delay) {
+  schedule(delay, [this, &director, run = director.run, list] {
+    if (director.up && director.run == run)
+      deliver(director, [this, &director, list] { applyList(director, list); });
   });
 }
 
-// What the list said, and when this director could first read it, goes into the record.
-void Theatre::tell(Director& d, const fleet::NodeList& word) {
-  if (word.version >= d.list->version() || d.list->version() == 0) {
+// Records the listed states as soon as this director can read them, then applies the list.
+void Replay::applyList(Director& director, const fleet::NodeList& list) {
+  if (list.version >= director.membership->version() || director.membership->version() == 0) {
     std::set<NodeId> named;
-    for (const fleet::NodeEndpoint& endpoint : word.endpoints) {
+    for (const fleet::NodeEndpoint& endpoint : list.endpoints) {
       named.insert(endpoint.node);
-      out_.record.listedStates.push_back({endpoint.node, now_ - zero, endpoint.state, d.place});
+      result_.record.listedStates.push_back(
+          {endpoint.node, now_ - startTime, endpoint.state, director.index});
     }
-    for (const auto& [id, n] : nodes_)
+    for (const auto& [id, node] : nodes_)
       if (!named.contains(id))
-        out_.record.listedStates.push_back({id, now_ - zero, NodeState::gone, d.place});
+        result_.record.listedStates.push_back({id, now_ - startTime, NodeState::gone, director.index});
   }
-  ListUpdate told;
-  const fleet::UpdateResult taken = d.list->apply(now_, word, told);
-  if (taken != fleet::UpdateResult::applied && taken != fleet::UpdateResult::tooMuchGone) return;
-  d.kept = word;
-  d.hasKept = true;
-  if (!told.entries.empty() || told.kind == ListKind::snapshot) d.front->listUpdated(std::move(told));
+  ListUpdate update;
+  const fleet::UpdateResult result = director.membership->apply(now_, list, update);
+  if (result != fleet::UpdateResult::applied && result != fleet::UpdateResult::tooMuchGone) return;
+  director.cachedList = list;
+  director.hasCachedList = true;
+  if (!update.entries.empty() || update.kind == ListKind::snapshot)
+    director.front->listUpdated(std::move(update));
 }
 
 // ---- nodes ----
 
-void Theatre::begin(int cell, bool cold) {
-  auto made = std::make_unique<Node>();
-  made->id = ++nextNode_;
-  made->cell = cell;
-  made->cold = cold;
-  made->startedAt = now_;
-  world_.addNode(made->id, cell, now_, cold);
-  out_.record.starts.push_back({made->id, now_ - zero, places(), cold});
-  nodes_.emplace(made->id, std::move(made));
-}
-
-void Theatre::arrive(Node& n, Director& d, const session::SetUp& order) {
-  auto s = std::make_shared<Session>();
-  s->director = d.place;
-  s->run = d.run;
-  s->join = order.join;
-  s->viewer = std::atoi(order.viewer.c_str() + 1);
-  s->room = order.roomType;
-  s->rung = order.rung;
-  s->title = std::atoi(order.title.c_str() + 1);
-  s->seen = out_.record.setUps.size();
-  audit::SetUpObservation seen;
-  seen.at = now_ - zero;
-  seen.node = n.id;
-  seen.director = d.name();
-  seen.subscription = d.name() + "-" + std::to_string(order.sub);
-  seen.viewer = order.viewer;
-  seen.idempotencyKey = order.idempotencyKey;
-  seen.title = order.title;
-  seen.roomType = order.roomType;
-  seen.rung = order.rung;
-  out_.record.setUps.push_back(seen);
-  out_.record.rungs.push_back({now_ - zero, order.roomType, order.rung});
-  n.sessions.push_back(s);
-  if (n.cold && now_ - n.startedAt < terms_.coldTime && terms_.fallTime > 0) {
-    std::erase_if(n.coldSeen, [&](Micros at) { return at <= now_ - terms_.fallTime; });
-    n.coldSeen.push_back(now_);
-    const double bears = places() * world_.warmth(n.id, now_) * static_cast<double>(terms_.fallTime) /
-                         static_cast<double>(terms_.coldTime) * terms_.overloadFactor;
-    if (static_cast<double>(n.coldSeen.size()) > bears + 2) {
-      out_.record.overloadedNodes.push_back("node " + std::to_string(n.id));
-      return killNode(n);
+void Replay::startNode(int cell, bool cold) {
+  auto node = std::make_unique<Node>();
+  node->id = ++nextNode_;
+  node->cell = cell;
+  node->cold = cold;
+  node->startedAt = now_;
+  links_.addNode(node->id, cell, now_, cold);
+  result_.record.starts.push_back({node->id, now_ - startTime, slotsPerNode(), cold});
+  nodes_.emplace(node->id, std::move(node));
+}
+
+void Replay::receiveSetUp(Node& node, Director& director, const session::SetUp& command) {
+  auto session = std::make_shared<Session>();
+  session->director = director.index;
+  session->run = director.run;
+  session->join = command.join;
+  session->viewer = std::atoi(command.viewer.c_str() + 1);
+  session->room = command.roomType;
+  session->rung = command.rung;
+  session->title = std::atoi(command.title.c_str() + 1);
+  session->observation = result_.record.setUps.size();
+  audit::SetUpObservation observed;
+  observed.at = now_ - startTime;
+  observed.node = node.id;
+  observed.director = director.name();
+  observed.subscription = director.name() + "-" + std::to_string(command.sub);
+  observed.viewer = command.viewer;
+  observed.idempotencyKey = command.idempotencyKey;
+  observed.title = command.title;
+  observed.roomType = command.roomType;
+  observed.rung = command.rung;
+  result_.record.setUps.push_back(observed);
+  result_.record.rungs.push_back({now_ - startTime, command.roomType, command.rung});
+  node.sessions.push_back(session);
+  if (node.cold && now_ - node.startedAt < controlSettings_.coldTime && controlSettings_.fallTime > 0) {
+    std::erase_if(node.coldSetUps, [&](Micros time) { return time <= now_ - controlSettings_.fallTime; });
+    node.coldSetUps.push_back(now_);
+    const double allowed = slotsPerNode() * links_.warmth(node.id, now_) *
+                           static_cast<double>(controlSettings_.fallTime) /
+                           static_cast<double>(controlSettings_.coldTime) * controlSettings_.overloadFactor;
+    if (static_cast<double>(node.coldSetUps.size()) > allowed + coldTolerance) {
+      result_.record.overloadedNodes.push_back("node " + std::to_string(node.id));
+      return killNode(node);
     }
   }
-  if (n.hang)
-    n.held.push_back([this, &n, s] { process(n, s); });
+  if (node.stalled)
+    node.heldCallbacks.push_back([this, &node, session] { handleSetUp(node, session); });
   else
-    process(n, s);
+    handleSetUp(node, session);
 }
 
-void Theatre::answer(Session& s, std::function<void(Director&)> what) {
-  Director& d = directors_[static_cast<std::size_t>(s.director)];
-  if (d.run == s.run) reach(d, [&d, what = std::move(what)] { what(d); });
+void Replay::sendToDirector(Session& session, std::function<void(Director&)> callback) {
+  Director& director = directors_[static_cast<std::size_t>(session.director)];
+  if (director.run == session.run)
+    deliver(director, [&director, callback = std::move(callback)] { callback(director); });
 }
 
-void Theatre::process(Node& n, const std::shared_ptr<Session>& s) {
-  if (!n.alive) return;
-  audit::SetUpObservation& seen = out_.record.setUps[s->seen];
-  const JoinId key = s->join;
-  if (s->over) {
-    // It read the set-up after it stood still, before the teardown behind it: it ran, for a moment.
-    seen.ranAt = now_ - zero;
+void Replay::handleSetUp(Node& node, const std::shared_ptr<Session>& session) {
+  if (!node.alive) return;
+  audit::SetUpObservation& observed = result_.record.setUps[session->observation];
+  const JoinId joinId = session->join;
+  if (session->ended) {
+    // The node was stalled and reads the set-up before the teardown that follows it, so the set-up runs
+    // briefly.
+    observed.ranAt = now_ - startTime;
     return;
   }
-  const auto most = static_cast<std::size_t>(places());
-  const bool full = n.draining || n.refuse || world_.streams(n.id) >= most;
-  if (full || chance_.withProbability(n.fail)) {
-    if (full) seen.refusedAt = now_ - zero;
-    if (!n.lose)
-      answer(*s,
-             [this, key, full](Director& d) { ended(d, key, full ? Outcome::full : Outcome::error, false); });
-    return over(n, *s);
+  const auto slots = static_cast<std::size_t>(slotsPerNode());
+  const bool full = node.draining || node.refusesJoins || links_.streams(node.id) >= slots;
+  if (full || random_.withProbability(node.failShare)) {
+    if (full) observed.refusedAt = now_ - startTime;
+    if (!node.losesAnswers)
+      sendToDirector(*session, [this, joinId, full](Director& director) {
+        endJoin(director, joinId, full ? Outcome::full : Outcome::error, false);
+      });
+    return endSession(node, *session);
   }
-  after(chance_.duration(h_.minSetUpTime, h_.maxSetUpTime), [this, &n, s] {
-    if (n.hang)
-      n.held.push_back([this, &n, s] { runIt(n, s); });
+  schedule(random_.duration(history_.minSetUpTime, history_.maxSetUpTime), [this, &node, session] {
+    if (node.stalled)
+      node.heldCallbacks.push_back([this, &node, session] { startSession(node, session); });
     else
-      runIt(n, s);
+      startSession(node, session);
   });
 }
 
-void Theatre::runIt(Node& n, const std::shared_ptr<Session>& s) {
-  if (!n.alive || s->over) return;
-  s->ran = true;
-  out_.record.setUps[s->seen].ranAt = now_ - zero;
-  s->stream = world_.startStream(n.id, s->viewer, s->room, s->rung, s->title, true);
-  const JoinId key = s->join;
-  if (!n.lose) {
-    const double link = world_.load(n.id, 0).link;
-    answer(*s, [key, link, silent = n.silent](Director& d) {
-      if (!d.joins.contains(key)) return;
-      d.front->joinStarted(key);
-      if (!silent) d.front->measured(key, MeasurementKind::link, link);
+void Replay::startSession(Node& node, const std::shared_ptr<Session>& session) {
+  if (!node.alive || session->ended) return;
+  session->ran = true;
+  result_.record.setUps[session->observation].ranAt = now_ - startTime;
+  session->stream =
+      links_.startStream(node.id, session->viewer, session->room, session->rung, session->title, true);
+  const JoinId joinId = session->join;
+  if (!node.losesAnswers) {
+    const double link = links_.load(node.id, 0).link;
+    sendToDirector(*session, [joinId, link, silent = node.reportsStopped](Director& director) {
+      if (!director.joins.contains(joinId)) return;
+      director.front->joinStarted(joinId);
+      if (!silent) director.front->measured(joinId, MeasurementKind::link, link);
     });
   }
-  const Micros length = wishes_.at(s->viewer).asked.length;
-  after(length, [this, &n, s, key] {
-    if (s->over || !n.alive) return;
-    over(n, *s);
-    answer(*s, [this, key](Director& d) { ended(d, key, Outcome::ok, true); });
+  const Micros length = requests_.at(session->viewer).event.length;
+  schedule(length, [this, &node, session, joinId] {
+    if (session->ended || !node.alive) return;
+    endSession(node, *session);
+    sendToDirector(*session,
+                   [this, joinId](Director& director) { endJoin(director, joinId, Outcome::ok, true); });
   });
 }
 
-void Theatre::over(Node&, Session& s) {
-  if (s.over) return;
-  s.over = true;
-  out_.record.setUps[s.seen].endedAt = now_ - zero;
-  if (s.stream != 0) world_.stopStream(s.stream);
-}
-
-void Theatre::killNode(Node& n) {
-  if (!n.alive) return;
-  n.alive = false;
-  for (const auto& s : n.sessions) over(n, *s);
-  n.sessions.clear();
-  n.held.clear();
-  world_.removeNode(n.id);
-  for (Director& d : directors_)
-    if (d.up)
-      reach(d, [this, &d, to = n.id, process = n.startedAt] {
-        if (const auto it = d.connected.find(to); it != d.connected.end() && it->second == process)
-          d.connected.erase(it);
+void Replay::endSession(Node&, Session& session) {
+  if (session.ended) return;
+  session.ended = true;
+  result_.record.setUps[session.observation].endedAt = now_ - startTime;
+  if (session.stream != 0) links_.stopStream(session.stream);
+}
+
+void Replay::killNode(Node& node) {
+  if (!node.alive) return;
+  node.alive = false;
+  for (const auto& session : node.sessions) endSession(node, *session);
+  node.sessions.clear();
+  node.heldCallbacks.clear();
+  links_.removeNode(node.id);
+  for (Director& director : directors_)
+    if (director.up)
+      deliver(director, [this, &director, nodeId = node.id, nodeStartedAt = node.startedAt] {
+        if (const auto it = director.connected.find(nodeId);
+            it != director.connected.end() && it->second == nodeStartedAt)
+          director.connected.erase(it);
         std::vector<JoinId> lost;
-        for (const auto& [key, join] : d.joins)
-          if (join.order.node == to && join.written && join.process == process) lost.push_back(key);
-        for (const JoinId key : lost) ended(d, key, Outcome::reset, false);
+        for (const auto& [joinId, join] : director.joins)
+          if (join.command.node == nodeId && join.written && join.nodeStartedAt == nodeStartedAt)
+            lost.push_back(joinId);
+        for (const JoinId joinId : lost) endJoin(director, joinId, Outcome::reset, false);
       });
 }
 
-// Once a second what is delivered, while that is short; the link's use once a round, on one join of each
-// director.
-void Theatre::notes(Node& n) {
-  std::erase_if(n.sessions, [](const auto& s) { return s->over; });
-  if (!n.alive || n.silent || n.hang || n.lose) return;
-  const model::NodeLoad load = world_.load(n.id, terms_.seenAfter);
-  const bool round = terms_.reportInterval > 0 && now_ - n.notedAt >= terms_.reportInterval;
-  if (round) n.notedAt = now_;
-  std::set<int> told;
-  for (const auto& s : n.sessions) {
-    if (!s->ran || !told.insert(s->director).second) continue;
-    answer(*s, [key = s->join, load, round, uplinks = terms_.uplinksReported](Director& d) {
-      if (load.delivered < 0.98) d.front->measured(key, MeasurementKind::delivered, load.delivered);
-      if (round) d.front->measured(key, MeasurementKind::link, load.link);
-      if (round && uplinks) d.front->measured(key, MeasurementKind::uplink, load.uplink);
+// Sends measurements on one join of each director: the delivered share while it is short, and the use of the
+// link and the uplink once per report interval.
+void Replay::reportMeasurements(Node& node) {
+  std::erase_if(node.sessions, [](const auto& session) { return session->ended; });
+  if (!node.alive || node.reportsStopped || node.stalled || node.losesAnswers) return;
+  const model::NodeLoad load = links_.load(node.id, controlSettings_.seenAfter);
+  const bool loadDue =
+      controlSettings_.reportInterval > 0 && now_ - node.reportedAt >= controlSettings_.reportInterval;
+  if (loadDue) node.reportedAt = now_;
+  std::set<int> reportedDirectors;
+  for (const auto& session : node.sessions) {
+    if (!session->ran || !reportedDirectors.insert(session->director).second) continue;
+    sendToDirector(*session, [joinId = session->join, load, loadDue,
+                              uplinks = controlSettings_.uplinksReported](Director& director) {
+      if (load.delivered < fullyDelivered)
+        director.front->measured(joinId, MeasurementKind::delivered, load.delivered);
+      if (loadDue) director.front->measured(joinId, MeasurementKind::link, load.link);
+      if (loadDue && uplinks) director.front->measured(joinId, MeasurementKind::uplink, load.uplink);
     });
   }
 }
 
 // ---- players ----
 
-void Theatre::acts(int app) {
-  auto& list = acts_[static_cast<std::size_t>(app)];
-  while (!list.empty()) {
-    const std::vector<client::Action> now = std::exchange(list, {});
-    for (const client::Action& act : now) {
-      if (const auto* go = std::get_if<client::StartAttempt>(&act)) attempt(app, *go);
-      if (const auto* no = std::get_if<client::AbandonAttempt>(&act)) closeTry(app, no->attempt, false);
-      if (const auto* give = std::get_if<client::ReportResult>(&act)) {
-        ++*std::map<client::Result, std::size_t*>{
-            {client::Result::playing, &out_.playing},         {client::Result::throttled, &out_.throttled},
-            {client::Result::terminated, &out_.terminated},   {client::Result::unknown, &out_.unknown},
-            {client::Result::unreachable, &out_.unreachable}, {client::Result::cancelled, &out_.unreachable}}
-               .at(give->result);
-        if (give->result == client::Result::throttled) out_.retryAfter.push_back(give->retryAfter);
-        wishes_.at(static_cast<int>(give->request)).ended = give->result != client::Result::playing;
+void Replay::executeActions(int app) {
+  auto& actions = actions_[static_cast<std::size_t>(app)];
+  while (!actions.empty()) {
+    const std::vector<client::Action> current = std::exchange(actions, {});
+    for (const client::Action& action : current) {
+      if (const auto* start = std::get_if<client::StartAttempt>(&action)) startAttempt(app, *start);
+      if (const auto* abandon = std::get_if<client::AbandonAttempt>(&action))
+        closeAttempt(app, abandon->attempt, false);
+      if (const auto* report = std::get_if<client::ReportResult>(&action)) {
+        ++*std::map<client::Result, std::size_t*>{{client::Result::playing, &result_.playing},
+                                                  {client::Result::throttled, &result_.throttled},
+                                                  {client::Result::terminated, &result_.terminated},
+                                                  {client::Result::unknown, &result_.unknown},
+                                                  {client::Result::unreachable, &result_.unreachable},
+                                                  {client::Result::cancelled, &result_.unreachable}}
+               .at(report->result);
+        if (report->result == client::Result::throttled) result_.retryAfter.push_back(report->retryAfter);
+        requests_.at(static_cast<int>(report->request)).ended = report->result != client::Result::playing;
       }
     }
   }
   const Micros due = apps_[static_cast<std::size_t>(app)]->due();
-  if (due < now_ + 3600 * second) after(std::max<Micros>(0, due - now_), [this, app] { tickApp(app); });
+  if (due < now_ + unlimited) schedule(std::max<Micros>(0, due - now_), [this, app] { tickApp(app); });
 }
 
-void Theatre::tickApp(int app) {
+void Replay::tickApp(int app) {
   auto& core = *apps_[static_cast<std::size_t>(app)];
   if (core.due() > now_) return;
-  core.tick(now_, acts_[static_cast<std::size_t>(app)]);
-  acts(app);
-}
-
-void Theatre::attempt(int app, const client::StartAttempt& go) {
-  Attempt& one = tries_[static_cast<std::size_t>(app)][go.attempt];
-  one.viewer = static_cast<int>(go.request);
-  one.director = static_cast<int>(go.director);
-  after(handshake, [this, app, id = go.attempt] {
-    Attempt& at = tries_[static_cast<std::size_t>(app)].at(id);
-    Director& d = directors_[static_cast<std::size_t>(at.director)];
-    if (!at.open) return;
-    if (!d.up) {
-      at.open = false;
-      apps_[static_cast<std::size_t>(app)]->failed(now_, id, acts_[static_cast<std::size_t>(app)]);
-      return acts(app);
+  core.tick(now_, actions_[static_cast<std::size_t>(app)]);
+  executeActions(app);
+}
+
+void Replay::startAttempt(int app, const client::StartAttempt& start) {
+  Attempt& attempt = attempts_[static_cast<std::size_t>(app)][start.attempt];
+  attempt.viewer = static_cast<int>(start.request);
+  attempt.director = static_cast<int>(start.director);
+  schedule(handshakeTime, [this, app, id = start.attempt] {
+    Attempt& current = attempts_[static_cast<std::size_t>(app)].at(id);
+    Director& director = directors_[static_cast<std::size_t>(current.director)];
+    if (!current.open) return;
+    if (!director.up) {
+      current.open = false;
+      apps_[static_cast<std::size_t>(app)]->failed(now_, id, actions_[static_cast<std::size_t>(app)]);
+      return executeActions(app);
     }
-    at.run = d.run;
-    // The kernel takes the connection of a director that stands still; its hello comes when it goes on.
-    at.callId = ++d.nextLine;
-    d.lines[at.callId] = {app, id};
-    reach(d, [this, app, id] { hello(app, id); });
+    current.run = director.run;
+    // The kernel accepts a connection to a stalled director; the director greets the player after it resumes.
+    current.callId = ++director.nextCallId;
+    director.calls[current.callId] = {app, id};
+    deliver(director, [this, app, id] { receiveHello(app, id); });
   });
 }
 
-void Theatre::hello(int app, client::AttemptId id) {
-  Attempt& at = tries_[static_cast<std::size_t>(app)].at(id);
-  Director& d = directors_[static_cast<std::size_t>(at.director)];
-  after(wire, [this, app, id, &d] {
-    Attempt& one = tries_[static_cast<std::size_t>(app)].at(id);
-    if (!one.open || !d.up || d.run != one.run) return;
+void Replay::receiveHello(int app, client::AttemptId id) {
+  Attempt& attempt = attempts_[static_cast<std::size_t>(app)].at(id);
+  Director& director = directors_[static_cast<std::size_t>(attempt.director)];
+  schedule(networkLatency, [this, app, id, &director] {
+    Attempt& current = attempts_[static_cast<std::size_t>(app)].at(id);
+    if (!current.open || !director.up || director.run != current.run) return;
     const client::SendParameters sending =
-        apps_[static_cast<std::size_t>(app)]->beginSend(now_, id, "d" + std::to_string(one.director));
+        apps_[static_cast<std::size_t>(app)]->beginSend(now_, id, "d" + std::to_string(current.director));
     if (sending.key.empty()) return;
-    const HistoryEvent& wish = wishes_.at(one.viewer).asked;
-    session_api::PlayMessage ask;
-    ask.key = sending.key;
-    ask.previousDirector = sending.previousDirector;
-    ask.sinceFirstSent = sending.sinceFirstSent;
-    ask.timeout = sending.timeLeft;
-    ask.viewer = "v" + std::to_string(one.viewer);
-    ask.title = "t" + std::to_string(wish.title);
-    ask.room = h_.deployment.roomTypes[static_cast<std::size_t>(wish.room)];
-    ask.top = wish.top;
-    if (!h_.deployment.tenants.empty()) ask.tenant = h_.deployment.tenants[0];
-    one.asked = static_cast<long>(out_.record.requests.size());
-    audit::RequestObservation seen;
-    seen.at = now_ - zero;
-    seen.director = one.director;
-    seen.run = one.run;
-    seen.viewer = ask.viewer;
-    seen.idempotencyKey = ask.key;
-    seen.title = ask.title;
-    seen.roomType = wish.room;
-    seen.timeout =
-        std::min(sending.timeLeft, h_.deployment.clientTimeouts[static_cast<std::size_t>(wish.room)]);
-    out_.record.requests.push_back(seen);
-    reach(d, [&d, ask, callId = one.callId] {
-      std::string why;
-      auto read = d.reception->translate(callId, ask, std::nullopt, *d.list, why);
-      if (read) d.front->submit(std::move(*read));
+    const HistoryEvent& event = requests_.at(current.viewer).event;
+    session_api::PlayMessage message;
+    message.key = sending.key;
+    message.previousDirector = sending.previousDirector;
+    message.sinceFirstSent = sending.sinceFirstSent;
+    message.timeout = sending.timeLeft;
+    message.viewer = "v" + std::to_string(current.viewer);
+    message.title = "t" + std::to_string(event.title);
+    message.room = history_.deployment.roomTypes[static_cast<std::size_t>(event.room)];
+    message.top = event.top;
+    if (!history_.deployment.tenants.empty()) message.tenant = history_.deployment.tenants[0];
+    current.observation = static_cast<long>(result_.record.requests.size());
+    audit::RequestObservation observed;
+    observed.at = now_ - startTime;
+    observed.director = current.director;
+    observed.run = current.run;
+    observed.viewer = message.viewer;
+    observed.idempotencyKey = message.key;
+    observed.title = message.title;
+    observed.roomType = event.room;
+    observed.timeout =
+        std::min(sending.timeLeft, history_.deployment.clientTimeouts[static_cast<std::size_t>(event.room)]);
+    result_.record.requests.push_back(observed);
+    deliver(director, [&director, message, callId = current.callId] {
+      std::string error;
+      auto request =
+          director.translator->translate(callId, message, std::nullopt, *director.membership, error);
+      if (request) director.front->submit(std::move(*request));
     });
   });
 }
 
-void Theatre::heard(int app, client::AttemptId id, client::Answer answer, Micros retryAfter, bool drains) {
-  Attempt& at = tries_[static_cast<std::size_t>(app)].at(id);
+void Replay::receiveAnswer(int app, client::AttemptId id, client::Answer answer, Micros retryAfter,
+                           bool drains) {
+  Attempt& attempt = attempts_[static_cast<std::size_t>(app)].at(id);
   if (answer == client::Answer::playing)
-    wishes_.at(at.viewer).playing = id;
+    requests_.at(attempt.viewer).playingAttempt = id;
   else
-    at.open = false;
+    attempt.open = false;
   apps_[static_cast<std::size_t>(app)]->answered(now_, id, answer, retryAfter, drains,
-                                                 acts_[static_cast<std::size_t>(app)]);
-  acts(app);
-}
-
-void Theatre::closeTry(int app, client::AttemptId id, bool lost) {
-  const auto it = tries_[static_cast<std::size_t>(app)].find(id);
-  if (it == tries_[static_cast<std::size_t>(app)].end() || !it->second.open) return;
-  Attempt& at = it->second;
-  at.open = false;
-  if (at.asked >= 0) {
-    audit::RequestObservation& seen = out_.record.requests[static_cast<std::size_t>(at.asked)];
-    if (seen.answers.empty()) seen.closedAt = now_ - zero, seen.connectionLost = lost;
+                                                 actions_[static_cast<std::size_t>(app)]);
+  executeActions(app);
+}
+
+void Replay::closeAttempt(int app, client::AttemptId id, bool lost) {
+  const auto it = attempts_[static_cast<std::size_t>(app)].find(id);
+  if (it == attempts_[static_cast<std::size_t>(app)].end() || !it->second.open) return;
+  Attempt& attempt = it->second;
+  attempt.open = false;
+  if (attempt.observation >= 0) {
+    audit::RequestObservation& observed =
+        result_.record.requests[static_cast<std::size_t>(attempt.observation)];
+    if (observed.answers.empty()) observed.closedAt = now_ - startTime, observed.connectionLost = lost;
   }
-  Director& d = directors_[static_cast<std::size_t>(at.director)];
-  if (!d.up || d.run != at.run || at.callId == 0) return;
-  d.lines.erase(at.callId);
-  reach(d, [&d, callId = at.callId] { d.front->closed(callId); });
+  Director& director = directors_[static_cast<std::size_t>(attempt.director)];
+  if (!director.up || director.run != attempt.run || attempt.callId == 0) return;
+  director.calls.erase(attempt.callId);
+  deliver(director, [&director, callId = attempt.callId] { director.front->closed(callId); });
 }
 
-// ---- what happens ----
+// ---- events of the history ----
 
-void Theatre::happen(const HistoryEvent& one) {
-  const bool on = one.value > 0;
-  Node* n = node(one.subject);
-  Director* d = one.subject >= 0 && one.subject < h_.directors
-                    ? &directors_[static_cast<std::size_t>(one.subject)]
-                    : nullptr;
-  switch (one.kind) {
+void Replay::applyEvent(const HistoryEvent& event) {
+  const bool enabled = event.value > 0;
+  Node* node = findNode(event.subject);
+  Director* director = event.subject >= 0 && event.subject < history_.directors
+                           ? &directors_[static_cast<std::size_t>(event.subject)]
+                           : nullptr;
+  switch (event.kind) {
     case EventKind::request: {
-      Wish& wish = wishes_[one.subject];
-      wish.asked = one;
-      wish.app = one.subject % appsCount;
-      ++out_.requests;
-      const auto room = static_cast<std::size_t>(one.room);
-      apps_[static_cast<std::size_t>(wish.app)]->submit(
+      ViewerRequest& request = requests_[event.subject];
+      request.event = event;
+      request.app = event.subject % appCount;
+      ++result_.requests;
+      const auto room = static_cast<std::size_t>(event.room);
+      apps_[static_cast<std::size_t>(request.app)]->submit(
           now_,
-          {static_cast<client::RequestId>(one.subject), "k" + std::to_string(one.subject),
-           terms_.roomTypes[room].effect != Effect::repeatable, h_.deployment.clientTimeouts[room]},
-          acts_[static_cast<std::size_t>(wish.app)]);
-      return acts(wish.app);
+          {static_cast<client::RequestId>(event.subject), "k" + std::to_string(event.subject),
+           controlSettings_.roomTypes[room].effect != Effect::repeatable,
+           history_.deployment.clientTimeouts[room]},
+          actions_[static_cast<std::size_t>(request.app)]);
+      return executeActions(request.app);
     }
     case EventKind::leave:
     case EventKind::disconnect: {
-      const auto it = wishes_.find(one.subject);
-      if (it == wishes_.end()) return;
+      const auto it = requests_.find(event.subject);
+      if (it == requests_.end()) return;
       const int app = it->second.app;
-      for (auto& [id, at] : tries_[static_cast<std::size_t>(app)]) {
-        if (at.viewer != one.subject || !at.open) continue;
-        const client::AttemptId attempt = id;
-        if (one.kind == EventKind::leave && it->second.playing == 0)
-          apps_[static_cast<std::size_t>(app)]->cancel(now_, static_cast<client::RequestId>(one.subject),
-                                                       acts_[static_cast<std::size_t>(app)]);
-        closeTry(app, attempt, false);
-        if (one.kind == EventKind::disconnect)
-          apps_[static_cast<std::size_t>(app)]->failed(now_, attempt, acts_[static_cast<std::size_t>(app)]);
-        return acts(app);
+      for (auto& [id, attempt] : attempts_[static_cast<std::size_t>(app)]) {
+        if (attempt.viewer != event.subject || !attempt.open) continue;
+        const client::AttemptId attemptId = id;
+        if (event.kind == EventKind::leave && it->second.playingAttempt == 0)
+          apps_[static_cast<std::size_t>(app)]->cancel(now_, static_cast<client::RequestId>(event.subject),
+                                                       actions_[static_cast<std::size_t>(app)]);
+        closeAttempt(app, attemptId, false);
+        if (event.kind == EventKind::disconnect)
+          apps_[static_cast<std::size_t>(app)]->failed(now_, attemptId,
+                                                       actions_[static_cast<std::size_t>(app)]);
+        return executeActions(app);
       }
       return;
     }
     case EventKind::startNode:
-      begin(static_cast<int>(one.value), true);
-      return publish();
+      startNode(static_cast<int>(event.value), true);
+      return publishList();
     case EventKind::restartNode:
-      if (n == nullptr || !n->alive) return;
-      killNode(*n);
-      n->alive = n->cold = true;
-      n->draining = n->hang = false;
-      n->listed = NodeState::ready;
-      n->startedAt = now_;
-      n->coldSeen.clear();
-      world_.addNode(n->id, n->cell, now_, true);
-      out_.record.starts.push_back({n->id, now_ - zero, places(), true});
-      return publish();
+      if (node == nullptr || !node->alive) return;
+      killNode(*node);
+      node->alive = node->cold = true;
+      node->draining = node->stalled = false;
+      node->listedState = NodeState::ready;
+      node->startedAt = now_;
+      node->coldSetUps.clear();
+      links_.addNode(node->id, node->cell, now_, true);
+      result_.record.starts.push_back({node->id, now_ - startTime, slotsPerNode(), true});
+      return publishList();
     case EventKind::changeCell:
-      if (n == nullptr) return;
-      n->cell = static_cast<int>(one.value);
-      return publish();
+      if (node == nullptr) return;
+      node->cell = static_cast<int>(event.value);
+      return publishList();
     case EventKind::drainNode:
-      if (n == nullptr) return;
-      n->draining = true;
-      n->listed = NodeState::draining;
-      return publish();
+      if (node == nullptr) return;
+      node->draining = true;
+      node->listedState = NodeState::draining;
+      return publishList();
     case EventKind::unlistNode:
-      if (n == nullptr) return;
-      n->inList = false;
-      return publish();
+      if (node == nullptr) return;
+      node->published = false;
+      return publishList();
     case EventKind::killNode:
-      if (n != nullptr) killNode(*n);
+      if (node != nullptr) killNode(*node);
       return;
     case EventKind::stallNode:
-      if (n == nullptr || !n->alive) return;
-      n->hang = on;
-      world_.stall(n->id, on);
-      if (!on)
-        for (const auto& held : std::exchange(n->held, {})) held();
+      if (node == nullptr || !node->alive) return;
+      node->stalled = enabled;
+      links_.stall(node->id, enabled);
+      if (!enabled)
+        for (const auto& callback : std::exchange(node->heldCallbacks, {})) callback();
       return;
     case EventKind::loseAnswers:
-      if (n != nullptr) n->lose = on;
+      if (node != nullptr) node->losesAnswers = enabled;
       return;
     case EventKind::failJoins:
-      if (n != nullptr) n->fail = one.value;
+      if (node != nullptr) node->failShare = event.value;
       return;
     case EventKind::refuseJoins:
-      if (n != nullptr) n->refuse = on;
+      if (node != nullptr) node->refusesJoins = enabled;
       return;
     case EventKind::stopReports:
-      if (n != nullptr) n->silent = on;
+      if (node != nullptr) node->reportsStopped = enabled;
       return;
     case EventKind::setConnectTime:
-      if (n != nullptr) n->connect = static_cast<Micros>(one.value * ms);
+      if (node != nullptr) node->connectTime = static_cast<Micros>(event.value * ms);
       return;
     case EventKind::reduceLink:
-      if (n != nullptr && n->alive) world_.cutLink(n->id, std::max(1.0, one.value));
+      if (node != nullptr && node->alive) links_.cutLink(node->id, std::max(1.0, event.value));
       return;
     case EventKind::repeatList:
-      for (Director& each : directors_) hand(each, word_, 0), hand(each, before_, 0);
+      for (Director& other : directors_)
+        sendList(other, publishedList_, 0), sendList(other, previousList_, 0);
       return;
     case EventKind::partialList: {
       std::set<NodeId> without;
-      for (const auto& [id, each] : nodes_)
+      for (const auto& [id, other] : nodes_)
         if (id % 3 != 0) without.insert(id);
-      publish(without);
-      return after(100 * ms, [this] { publish(); });
+      publishList(without);
+      return schedule(100 * ms, [this] { publishList(); });
     }
     case EventKind::delayList:
-      if (d != nullptr) d->listLate = static_cast<Micros>(one.value * ms);
+      if (director != nullptr) director->listDelay = static_cast<Micros>(event.value * ms);
       return;
     case EventKind::killDirector:
-      if (d != nullptr) die(*d);
+      if (director != nullptr) killDirector(*director);
       return;
     case EventKind::startDirector:
-      if (d != nullptr && !d->up) boot(*d);
+      if (director != nullptr && !director->up) startDirector(*director);
       return;
     case EventKind::stallDirector:
-      if (d == nullptr || !d->up || d->stands == on) return;
-      d->stands = on;
-      if (on) {
-        out_.record.directorStalls.push_back({d->place, d->run, now_ - zero, now_ - zero + 3600 * second});
+      if (director == nullptr || !director->up || director->stalled == enabled) return;
+      director->stalled = enabled;
+      if (enabled) {
+        result_.record.directorStalls.push_back(
+            {director->index, director->run, now_ - startTime, now_ - startTime + unlimited});
         return;
       }
-      out_.record.directorStalls.back().to = now_ - zero;
-      for (auto& each : out_.record.directorStalls)
-        if (each.director == d->place && each.run == d->run && each.to > now_ - zero) each.to = now_ - zero;
-      while (!d->inbox.empty()) {
-        const auto what = std::move(d->inbox.front());
-        d->inbox.pop_front();
-        what();
+      result_.record.directorStalls.back().to = now_ - startTime;
+      for (auto& other : result_.record.directorStalls)
+        if (other.director == director->index && other.run == director->run && other.to > now_ - startTime)
+          other.to = now_ - startTime;
+      while (!director->inbox.empty()) {
+        const auto callback = std::move(director->inbox.front());
+        director->inbox.pop_front();
+        callback();
       }
-      return turn(*d);
+      return processTurn(*director);
     case EventKind::setCommitTime:
-      if (d != nullptr) d->disk = static_cast<Micros>(one.value * ms);
+      if (director != nullptr) director->commitTime = static_cast<Micros>(event.value * ms);
       return;
   }
 }
 
-ReplayResult Theatre::play() {
-  for (int cell = 0; cell < h_.nodes; ++cell) begin(cell, false);
-  publish();
-  for (Director& d : directors_) d.kept = word_, d.hasKept = true, boot(d);
+ReplayResult Replay::play() {
+  for (int cell = 0; cell < history_.nodes; ++cell) startNode(cell, false);
+  publishList();
+  for (Director& director : directors_)
+    director.cachedList = publishedList_, director.hasCachedList = true, startDirector(director);
   Micros last = 0;
-  for (const HistoryEvent& one : h_.events) {
-    last = std::max(last, one.at);
-    after(one.at, [this, &one] { happen(one); });
+  for (const HistoryEvent& event : history_.events) {
+    last = std::max(last, event.at);
+    schedule(event.at, [this, &event] { applyEvent(event); });
   }
-  const Micros end = zero + last + settleTime;
-  std::function<void()> house = [&] {
-    world_.step(now_);
-    if ((now_ / housekeeping) % 20 == 0)
-      for (auto& [id, n] : nodes_) notes(*n);
-    for (Director& d : directors_)
-      if (d.up && !d.stands)
-        if (ListUpdate told = d.list->confirmRemovals(now_); !told.entries.empty())
-          d.front->listUpdated(std::move(told)), arm(d);
-    if (now_ < end) after(housekeeping, house);
+  const Micros end = startTime + last + endMargin;
+  std::function<void()> step = [&] {
+    links_.step(now_);
+    if ((now_ / stepInterval) % stepsPerReport == 0)
+      for (auto& [id, node] : nodes_) reportMeasurements(*node);
+    for (Director& director : directors_)
+      if (director.up && !director.stalled)
+        if (ListUpdate update = director.membership->confirmRemovals(now_); !update.entries.empty())
+          director.front->listUpdated(std::move(update)), scheduleTurn(director);
+    if (now_ < end) schedule(stepInterval, step);
   };
-  house();
-  while (!later_.empty() && later_.top().at <= end) {
-    const Later next = later_.top();
-    later_.pop();
-    now_ = next.at;
-    next.what();
+  step();
+  while (!scheduled_.empty() && scheduled_.top().at <= end) {
+    const ScheduledEvent event = scheduled_.top();
+    scheduled_.pop();
+    now_ = event.at;
+    event.callback();
   }
-  for (Director& d : directors_)
-    if (d.up)
-      for (const auto n : d.front->statistics().held) out_.heldByGuards += n;
-  audit::CheckSettings statistics;
-  statistics.controlSettings = terms_;
-  statistics.clientTimeouts = h_.deployment.clientTimeouts;
-  statistics.grace = h_.deployment.bounds.grace;
-  out_.ruleResults = audit::check(out_.record, statistics);
-  return std::move(out_);
+  for (Director& director : directors_)
+    if (director.up)
+      for (const auto count : director.front->statistics().held) result_.heldByGuards += count;
+  audit::CheckSettings checkSettings;
+  checkSettings.controlSettings = controlSettings_;
+  checkSettings.clientTimeouts = history_.deployment.clientTimeouts;
+  checkSettings.grace = history_.deployment.bounds.grace;
+  result_.ruleResults = audit::check(result_.record, checkSettings);
+  return std::move(result_);
 }
 
 }  // namespace
 
 std::size_t ReplayResult::violations() const {
-  std::size_t all = 0;
-  for (const audit::RuleResult& row : ruleResults) all += row.violations;
-  return all;
+  std::size_t total = 0;
+  for (const audit::RuleResult& rule : ruleResults) total += rule.violations;
+  return total;
 }
 
-ReplayResult play(const History& history, const std::string& plant) { return Theatre(history, plant).play(); }
+ReplayResult play(const History& history, const std::string& faultName) {
+  return Replay(history, faultName).play();
+}
 
-std::string format(const ReplayResult& p) {
+std::string format(const ReplayResult& result) {
   std::string out;
-  char callId[300];
-  for (const audit::RuleResult& row : p.ruleResults) {
-    std::snprintf(callId, sizeof callId, "%-22s %8zu tested %6zu broken   %s\n", row.rule.c_str(), row.tested,
-                  row.violations, row.tested == 0 ? "not put to the test" : row.closestCase.c_str());
-    out += callId;
-    for (const std::string& words : row.firstViolations) out += "    " + words + "\n";
+  char line[300];
+  for (const audit::RuleResult& rule : result.ruleResults) {
+    std::snprintf(line, sizeof line, "%-22s %8zu tested %6zu broken   %s\n", rule.rule.c_str(), rule.tested,
+                  rule.violations, rule.tested == 0 ? "not put to the test" : rule.closestCase.c_str());
+    out += line;
+    for (const std::string& violation : rule.firstViolations) out += "    " + violation + "\n";
   }
-  std::snprintf(callId, sizeof callId,
+  std::snprintf(line, sizeof line,
                 "%zu wishes: %zu play, %zu throttled, %zu terminated, %zu unknown, %zu not reached; %zu "
                 "asks, %zu joins, "
                 "%zu held back by guards, %zu nodes fallen\n",
-                p.requests, p.playing, p.throttled, p.terminated, p.unknown, p.unreachable,
-                p.record.requests.size(), p.record.setUps.size(), p.heldByGuards,
-                p.record.overloadedNodes.size());
-  return out + callId;
+                result.requests, result.playing, result.throttled, result.terminated, result.unknown,
+                result.unreachable, result.record.requests.size(), result.record.setUps.size(),
+                result.heldByGuards, result.record.overloadedNodes.size());
+  return out + line;
 }
 
 }  // namespace lupinsill::history
--- a/src/history/play.h
+++ b/src/history/play.h
@@ -1,6 +1,7 @@
-// Plays a history: membership, front, guards, ledger and module of several directors, and the client core of
-// several apps, together, on a simulated clock. No socket, no wall clock: the same history gives the same
-// record. What players and nodes saw goes into the record that `audit` judges.
+// Replays a history on a virtual clock: the real membership, front, guards, ledger and decision module of
+// several directors together with the client core of several apps, over simulated nodes and links. Uses no
+// socket and no wall clock, so that the same history gives the same record. What the simulated players and
+// nodes observe is checked by the audit.
 #pragma once
 
 #include <string>
@@ -15,15 +16,17 @@
 struct ReplayResult {
   audit::Record record;
   std::vector<audit::RuleResult> ruleResults;
+  // Number of requests, and how many ended with each result. Cancelled ones count as unreachable.
   std::size_t requests = 0, playing = 0, throttled = 0, terminated = 0, unknown = 0, unreachable = 0;
-  std::vector<Micros> retryAfter;  // what those given up on were told, in order
-  std::size_t heldByGuards = 0;    // held back by guards, over all directors
-  std::size_t violations() const;
+  std::vector<Micros> retryAfter;  // of the throttled requests, in order
+  std::size_t heldByGuards = 0;    // commands that the guards of all directors held back
+  std::size_t violations() const;  // over all rules
 };
 
-// `plant`: see lab/plant.h; empty in earnest.
-ReplayResult play(const History& history, const std::string& plant = "");
+// `faultName` names a fault to inject (lab/plant.h); empty for none.
+ReplayResult play(const History& history, const std::string& faultName = "");
 
-std::string format(const ReplayResult& played);
+// A table of the rules followed by a line of totals.
+std::string format(const ReplayResult& result);
 
 }  // namespace lupinsill::history
