--- a/src/client_script/script.cpp
+++ b/src/client_script/script.cpp
@@ -1,3 +1,4 @@
+// Generation, JSON format and comparison of scripts.
 #include "client_script/script.h"
 
 #include <nlohmann/json.hpp>
@@ -9,7 +10,10 @@
 
 using Json = nlohmann::json;
 
-Json parsed(const std::string& line) {
+constexpr int sequencesPerKill = 40;
+constexpr Micros requestTimeout = 20'000'000;
+
+Json parseObject(const std::string& line) {
   Json json = Json::parse(line, nullptr, false);
   if (json.is_discarded() || !json.is_object())
     throw std::runtime_error("script: not a JSON object: " + line);
@@ -21,20 +25,23 @@
 const std::vector<FaultPlan>& faultPlans() {
   static const std::vector<FaultPlan> all{
       {"ok", "nothing fails", false, false, 1},
-      {"lose", "the first answer is decided, and the call cut instead of carrying it", false, false, 1},
-      {"unheard", "the call is cut before its first ask is taken", false, false, 1},
+      {"lose", "the connection is closed when the first answer has been decided, before it is sent", false,
+       false, 1},
+      {"unheard", "the connection is closed before the first request is read", false, false, 1},
       {"twice", "the first two answers are lost", false, false, 1},
-      {"err", "the node answers 500: the set-up may have run", true, false, 1},
-      {"drop", "the node sets up and tells nobody", true, false, 1},
+      {"err", "the node answers 500, and the set-up may have run", true, false, 1},
+      {"drop", "the node sets up and does not answer", true, false, 1},
       {"cut", "the node sets up and its connection breaks", true, false, 1},
       {"lose-err", "the node answers 500, and the first answer is lost", true, false, 1},
-      {"kill-ask-read", "the director dies with the ask read", true, true, 1},
-      {"kill-ask-decided", "the director dies before the intent is written", true, true, 1},
-      {"kill-join-leaves", "the director dies with the intent on disk and the join not sent", true, true, 0},
-      {"kill-at-node", "the director dies when the join has reached its node", true, true, 1},
-      {"kill-join-began", "the director dies with the node's answer read", true, true, 1},
-      {"kill-answer-decided", "the director dies before the answer leaves", true, true, 1},
-      {"wipe-at-node", "the director dies at the node's set-up, and its ledger is gone", true, true, 1},
+      {"kill-ask-read", "the director is killed when it has read the request", true, true, 1},
+      {"kill-ask-decided", "the director is killed before the intent is written", true, true, 1},
+      {"kill-join-leaves", "the director is killed with the intent on disk and the join not sent", true, true,
+       0},
+      {"kill-at-node", "the director is killed when the join has reached its node", true, true, 1},
+      {"kill-join-began", "the director is killed when it has read the node's answer", true, true, 1},
+      {"kill-answer-decided", "the director is killed before the answer is sent", true, true, 1},
+      {"wipe-at-node", "the director is killed when the join has reached its node, and its ledger is deleted",
+       true, true, 1},
   };
   return all;
 }
@@ -47,108 +54,111 @@
 }
 
 std::vector<Sequence> generate(int sequences, std::uint64_t seed) {
-  std::minstd_rand chance(static_cast<std::minstd_rand::result_type>(seed % 2147483646 + 1));
-  const auto below = [&](std::size_t n) { return static_cast<std::size_t>(chance() / 7 % n); };
-  std::vector<const FaultPlan*> calm, faulty, deadly;
+  std::minstd_rand engine(static_cast<std::minstd_rand::result_type>(seed % 2147483646 + 1));
+  const auto below = [&](std::size_t n) { return static_cast<std::size_t>(engine() / 7 % n); };
+  std::vector<const FaultPlan*> harmless, faulty, killing;
   for (const FaultPlan& plan : faultPlans())
-    (plan.killsDirector ? deadly : plan.paidOnly ? faulty : calm).push_back(&plan);
-  std::vector<Sequence> out;
+    (plan.killsDirector ? killing : plan.paidOnly ? faulty : harmless).push_back(&plan);
+  std::vector<Sequence> script;
   for (int number = 1; number <= sequences; ++number) {
     Sequence sequence;
     sequence.number = number;
-    sequence.seed = 1 + chance() % 1'000'000;
-    // A director that dies costs seconds: one sequence in forty, each plan in turn.
-    const bool kills = number % 40 == 0;
-    const std::size_t wishes = kills ? 1 : 1 + below(3);
-    for (std::size_t i = 0; i < wishes; ++i) {
-      // Nodes that fail are gated, rightly, and a fleet of them throttles: they stay few among the asks.
-      const auto& from = below(8) == 0 ? faulty : calm;
+    sequence.seed = 1 + engine() % 1'000'000;
+    // Restarting a killed director takes seconds, so few sequences kill one, with each plan in
+    // turn.
+    const bool killsDirector = number % sequencesPerKill == 0;
+    const std::size_t requestCount = killsDirector ? 1 : 1 + below(3);
+    for (std::size_t i = 0; i < requestCount; ++i) {
+      // Directors gate failing nodes, and throttle when most nodes fail, so faulty plans stay a small share.
+      const auto& candidates = below(8) == 0 ? faulty : harmless;
       const FaultPlan& plan =
-          kills ? *deadly[static_cast<std::size_t>(number / 40) % deadly.size()] : *from[below(from.size())];
-      ScriptedRequest wish;
-      wish.title = std::string(plan.name) + "." + std::to_string(number) + "." + std::to_string(i);
-      wish.paid = plan.paidOnly || below(2) == 0;
-      wish.room = wish.paid ? "paid-class" : "recipe-clip";
-      wish.timeout = 20'000'000;
-      sequence.requests.push_back(std::move(wish));
+          killsDirector ? *killing[static_cast<std::size_t>(number / sequencesPerKill) % killing.size()]
+                        : *candidates[below(candidates.size())];
+      ScriptedRequest request;
+      request.title = std::string(plan.name) + "." + std::to_string(number) + "." + std::to_string(i);
+      request.paid = plan.paidOnly || below(2) == 0;
+      request.room = request.paid ? "paid-class" : "recipe-clip";
+      request.timeout = requestTimeout;
+      sequence.requests.push_back(std::move(request));
     }
-    out.push_back(std::move(sequence));
+    script.push_back(std::move(sequence));
   }
-  return out;
+  return script;
 }
 
 std::string toLine(const Sequence& sequence) {
-  Json wishes = Json::array();
-  for (const ScriptedRequest& wish : sequence.requests)
-    wishes.push_back({{"title", wish.title},
-                      {"room", wish.room},
-                      {"paid", wish.paid},
-                      {"timeoutMs", wish.timeout / 1000}});
-  return Json{{"sequence", sequence.number}, {"seed", sequence.seed}, {"wishes", wishes}}.dump();
+  Json requests = Json::array();
+  for (const ScriptedRequest& request : sequence.requests)
+    requests.push_back({{"title", request.title},
+                        {"room", request.room},
+                        {"paid", request.paid},
+                        {"timeoutMs", request.timeout / 1000}});
+  return Json{{"sequence", sequence.number}, {"seed", sequence.seed}, {"wishes", requests}}.dump();
 }
 
 Sequence parseSequence(const std::string& line) {
-  const Json json = parsed(line);
-  Sequence out;
+  const Json json = parseObject(line);
+  Sequence sequence;
   try {
-    out.number = json.at("sequence").get<int>();
-    out.seed = json.at("seed").get<std::uint64_t>();
-    for (const Json& wish : json.at("wishes"))
-      out.requests.push_back({wish.at("title").get<std::string>(), wish.at("room").get<std::string>(),
-                              wish.at("paid").get<bool>(), wish.at("timeoutMs").get<Micros>() * 1000});
-  } catch (const Json::exception& bad) {
-    throw std::runtime_error("script: " + std::string(bad.what()) + ": " + line);
+    sequence.number = json.at("sequence").get<int>();
+    sequence.seed = json.at("seed").get<std::uint64_t>();
+    for (const Json& request : json.at("wishes"))
+      sequence.requests.push_back({request.at("title").get<std::string>(),
+                                   request.at("room").get<std::string>(), request.at("paid").get<bool>(),
+                                   request.at("timeoutMs").get<Micros>() * 1000});
+  } catch (const Json::exception& error) {
+    throw std::runtime_error("script: " + std::string(error.what()) + ": " + line);
   }
-  return out;
+  return sequence;
 }
 
-std::string toLine(const SequenceResult& played) {
-  return Json{{"sequence", played.sequence}, {"results", played.results}}.dump();
+std::string toLine(const SequenceResult& result) {
+  return Json{{"sequence", result.sequence}, {"results", result.results}}.dump();
 }
 
 SequenceResult parseResult(const std::string& line) {
-  const Json json = parsed(line);
+  const Json json = parseObject(line);
   try {
     return {json.at("sequence").get<int>(), json.at("results").get<std::vector<std::string>>()};
-  } catch (const Json::exception& bad) {
-    throw std::runtime_error("played: " + std::string(bad.what()) + ": " + line);
+  } catch (const Json::exception& error) {
+    throw std::runtime_error("played: " + std::string(error.what()) + ": " + line);
   }
 }
 
 std::vector<Finding> compare(const std::vector<Sequence>& script, const std::vector<LibraryRun>& libraries) {
-  std::vector<Finding> found;
+  std::vector<Finding> findings;
   for (const Sequence& sequence : script)
     for (std::size_t i = 0; i < sequence.requests.size(); ++i) {
-      const ScriptedRequest& wish = sequence.requests[i];
-      const FaultPlan* plan = findFaultPlan(wish.title);
-      std::string first;
+      const ScriptedRequest& request = sequence.requests[i];
+      const FaultPlan* plan = findFaultPlan(request.title);
+      std::string firstResult;
       int firstSetUps = 0;
       for (const LibraryRun& library : libraries) {
-        const auto say = [&](const std::string& what) {
-          found.push_back({wish.title + " (" + library.name + ")", what});
+        const auto report = [&](const std::string& description) {
+          findings.push_back({request.title + " (" + library.name + ")", description});
         };
-        const auto played = library.played.find(sequence.number);
-        if (played == library.played.end() || i >= played->second.results.size()) {
-          say("no result");
+        const auto sequenceResult = library.played.find(sequence.number);
+        if (sequenceResult == library.played.end() || i >= sequenceResult->second.results.size()) {
+          report("no result");
           continue;
         }
-        const std::string& result = played->second.results[i];
-        const auto counted = library.setUps.find(wish.title + "." + library.name);
-        const int setUps = counted == library.setUps.end() ? 0 : counted->second;
-        if (result == "playing" && setUps == 0) say("plays, and was never set up");
-        if (wish.paid && plan != nullptr && setUps > plan->maxSetUps)
-          say("set up " + std::to_string(setUps) + " times, at most " + std::to_string(plan->maxSetUps));
-        // How often a safe wish is set up is the director's to weigh; a paid one leaves nothing to chance.
+        const std::string& result = sequenceResult->second.results[i];
+        const auto setUpEntry = library.setUps.find(request.title + "." + library.name);
+        const int setUps = setUpEntry == library.setUps.end() ? 0 : setUpEntry->second;
+        if (result == "playing" && setUps == 0) report("plays, and was never set up");
+        if (request.paid && plan != nullptr && setUps > plan->maxSetUps)
+          report("set up " + std::to_string(setUps) + " times, at most " + std::to_string(plan->maxSetUps));
+        // The director may retry safe requests as it sees fit, so only paid ones must have the same set-ups.
         if (&library == &libraries.front()) {
-          first = result;
+          firstResult = result;
           firstSetUps = setUps;
-        } else if (result != first || (wish.paid && setUps != firstSetUps)) {
-          say(result + " with " + std::to_string(setUps) + " set-ups, and " + first + " with " +
-              std::to_string(firstSetUps) + " through " + libraries.front().name);
+        } else if (result != firstResult || (request.paid && setUps != firstSetUps)) {
+          report(result + " with " + std::to_string(setUps) + " set-ups, and " + firstResult + " with " +
+                 std::to_string(firstSetUps) + " through " + libraries.front().name);
         }
       }
     }
-  return found;
+  return findings;
 }
 
 }  // namespace lupinsill::client_script
