--- a/src/baseline/baseline.cpp
+++ b/src/baseline/baseline.cpp
@@ -1,3 +1,4 @@
+// A policy that takes one ready holder after another without regard to load.
 #include "baseline/baseline.h"
 
 #include <algorithm>
@@ -8,111 +9,124 @@
 namespace lupinsill::baseline {
 namespace {
 
-class Plain final : public session::Decider {
+constexpr Micros minTimeLeft = 60'000;   // no join is started with less time until the deadline
+constexpr Micros joinTimeout = 500'000;  // of a join after which another one is possible
+constexpr Micros retryAfter = 500'000;   // for throttled viewers, unless the settings limit it further
+
+// Tries one holder after another, in order of the node id or at random.
+class PlainPolicy final : public session::Decider {
  public:
-  Plain(ControlSettings terms, std::uint64_t seed, bool random)
-      : terms_(std::move(terms)), random_(random), chance_(static_cast<unsigned>(seed % 2147483646 + 1)) {}
+  PlainPolicy(ControlSettings settings, std::uint64_t seed, bool random)
+      : settings_(std::move(settings)),
+        random_(random),
+        engine_(static_cast<unsigned>(seed % 2147483646 + 1)) {}
 
   void handle(Micros now, const std::vector<Event>& turn, std::vector<Action>& actions) override {
     now_ = now;
-    out_ = &actions;
+    actions_ = &actions;
     for (const Event& event : turn) {
-      if (const auto* told = std::get_if<ListUpdate>(&event)) list(*told);
+      if (const auto* update = std::get_if<ListUpdate>(&event)) applyList(*update);
       if (const auto* request = std::get_if<SubscriptionRequested>(&event)) {
-        Held& held = subs_[request->viewing.sub];
-        held.viewing = request->viewing;
-        place(held);
+        Subscription& subscription = subscriptions_[request->viewing.sub];
+        subscription.info = request->viewing;
+        place(subscription);
       }
-      if (const auto* began = std::get_if<JoinStarted>(&event))
-        if (const auto it = subs_.find(began->sub); it != subs_.end()) it->second.plays = true;
-      if (const auto* ended = std::get_if<JoinEnded>(&event)) end(*ended);
-      if (const auto* lapsed = std::get_if<SubscriptionAbandoned>(&event)) lapse(lapsed->sub);
+      if (const auto* started = std::get_if<JoinStarted>(&event))
+        if (const auto it = subscriptions_.find(started->sub); it != subscriptions_.end())
+          it->second.plays = true;
+      if (const auto* ended = std::get_if<JoinEnded>(&event)) endJoin(*ended);
+      if (const auto* abandoned = std::get_if<SubscriptionAbandoned>(&event)) abandon(abandoned->sub);
     }
   }
 
  private:
-  struct Held {
-    SubscriptionInfo viewing;
+  struct Subscription {
+    SubscriptionInfo info;
     std::vector<NodeId> tried;
-    int joins = 0;
-    bool out = false, plays = false, mayHaveRun = false;
+    int joins = 0;  // started so far
+    bool joining = false, plays = false, mayHaveRun = false;
   };
-  const RoomType& room(const Held& held) const {
-    return terms_.roomTypes[static_cast<std::size_t>(held.viewing.roomType)];
+  const RoomType& room(const Subscription& subscription) const {
+    return settings_.roomTypes[static_cast<std::size_t>(subscription.info.roomType)];
   }
-  void list(const ListUpdate& told) {
-    if (told.kind == ListKind::snapshot || told.kind == ListKind::cachedSnapshot) nodes_.clear();
-    for (const ListEntry& entry : told.entries) {
+  void applyList(const ListUpdate& update) {
+    if (update.kind == ListKind::snapshot || update.kind == ListKind::cachedSnapshot) nodes_.clear();
+    for (const ListEntry& entry : update.entries) {
       if (entry.state == NodeState::ready)
         nodes_[entry.node] = entry.cell;
       else
         nodes_.erase(entry.node);
     }
   }
-  void place(Held& held) {
-    const int cells = std::max(1, terms_.cells);
+  void place(Subscription& subscription) {
+    const int cells = std::max(1, settings_.cells);
     std::vector<NodeId> holders;
     for (const auto& [node, cell] : nodes_) {
-      const int offset = ((cell - held.viewing.firstCell) % cells + cells) % cells;
-      const bool tried = std::find(held.tried.begin(), held.tried.end(), node) != held.tried.end();
-      if (offset < held.viewing.holders && !tried) holders.push_back(node);
+      const int offset = ((cell - subscription.info.firstCell) % cells + cells) % cells;
+      const bool tried =
+          std::find(subscription.tried.begin(), subscription.tried.end(), node) != subscription.tried.end();
+      if (offset < subscription.info.holders && !tried) holders.push_back(node);
     }
-    const bool again = held.joins == 0 || (!held.mayHaveRun || room(held).effect == Effect::repeatable);
-    // Plain policies know of seats and budgets only by what the guards hold back.
-    if (holders.empty() || !again || held.joins >= terms_.maxJoins || held.viewing.deadline - now_ < 60'000)
-      return giveUp(held);
-    const NodeId node = holders[random_ ? chance_() % holders.size() : 0];
-    held.tried.push_back(node);
-    ++held.joins;
-    held.out = true;
-    out_->push_back(SetRung{held.viewing.sub, room(held).floor});
-    const Micros left = held.viewing.deadline - now_;
-    const bool last = room(held).effect != Effect::repeatable || held.joins >= terms_.maxJoins;
-    out_->push_back(Join{held.viewing.sub, node, last ? 0 : std::min<Micros>(left, 500'000)});
+    const bool mayJoin = subscription.joins == 0 ||
+                         (!subscription.mayHaveRun || room(subscription).effect == Effect::repeatable);
+    // Seats and the retry budget are left to the guards.
+    if (holders.empty() || !mayJoin || subscription.joins >= settings_.maxJoins ||
+        subscription.info.deadline - now_ < minTimeLeft)
+      return giveUp(subscription);
+    const NodeId node = holders[random_ ? engine_() % holders.size() : 0];
+    subscription.tried.push_back(node);
+    ++subscription.joins;
+    subscription.joining = true;
+    actions_->push_back(SetRung{subscription.info.sub, room(subscription).floor});
+    const Micros timeLeft = subscription.info.deadline - now_;
+    const bool lastJoin =
+        room(subscription).effect != Effect::repeatable || subscription.joins >= settings_.maxJoins;
+    actions_->push_back(
+        Join{subscription.info.sub, node, lastJoin ? 0 : std::min<Micros>(timeLeft, joinTimeout)});
   }
-  void giveUp(const Held& held) {
-    const SubscriptionId sub = held.viewing.sub;
-    if (!held.mayHaveRun || room(held).effect == Effect::repeatable)
-      out_->push_back(Throttle{sub, std::min<Micros>(terms_.maxRetryAfter, 500'000)});
+  void giveUp(const Subscription& subscription) {
+    const SubscriptionId id = subscription.info.sub;
+    if (!subscription.mayHaveRun || room(subscription).effect == Effect::repeatable)
+      actions_->push_back(Throttle{id, std::min<Micros>(settings_.maxRetryAfter, retryAfter)});
     else
-      out_->push_back(Terminate{sub});
-    subs_.erase(sub);
+      actions_->push_back(Terminate{id});
+    subscriptions_.erase(id);
   }
-  void end(const JoinEnded& ended) {
-    const auto it = subs_.find(ended.sub);
-    if (it == subs_.end()) return;
-    Held& held = it->second;
-    held.out = false;
+  void endJoin(const JoinEnded& ended) {
+    const auto it = subscriptions_.find(ended.sub);
+    if (it == subscriptions_.end()) return;
+    Subscription& subscription = it->second;
+    subscription.joining = false;
     if (ended.outcome != Outcome::full && ended.outcome != Outcome::connectFailed &&
         ended.outcome != Outcome::notSent)
-      held.mayHaveRun = true;
-    if (ended.settled || held.plays) return void(subs_.erase(it));
-    place(held);
+      subscription.mayHaveRun = true;
+    if (ended.settled || subscription.plays) return void(subscriptions_.erase(it));
+    place(subscription);
   }
-  void lapse(SubscriptionId sub) {
-    const auto it = subs_.find(sub);
-    if (it == subs_.end()) return;
-    if (!it->second.out) return void(subs_.erase(it));
-    if (!it->second.plays && terms_.cancelling) out_->push_back(CancelJoin{sub, it->second.joins - 1});
+  void abandon(SubscriptionId id) {
+    const auto it = subscriptions_.find(id);
+    if (it == subscriptions_.end()) return;
+    if (!it->second.joining) return void(subscriptions_.erase(it));
+    if (!it->second.plays && settings_.cancelling) actions_->push_back(CancelJoin{id, it->second.joins - 1});
   }
 
-  ControlSettings terms_;
+  ControlSettings settings_;
   bool random_;
-  std::minstd_rand chance_;
+  std::minstd_rand engine_;
   Micros now_ = 0;
-  std::vector<Action>* out_ = nullptr;
-  std::map<NodeId, int> nodes_;
-  std::map<SubscriptionId, Held> subs_;
+  std::vector<Action>* actions_ = nullptr;
+  std::map<NodeId, int> nodes_;  // ready nodes, with their cells
+  std::map<SubscriptionId, Subscription> subscriptions_;
 };
 
 }  // namespace
 
 std::vector<std::string> policyNames() { return {"first-open", "random-lowest"}; }
 
-std::unique_ptr<session::Decider> makePolicy(const std::string& name, const ControlSettings& terms,
+std::unique_ptr<session::Decider> makePolicy(const std::string& name, const ControlSettings& settings,
                                              std::uint64_t seed) {
-  if (name == "first-open") return std::make_unique<Plain>(terms, seed, false);
-  if (name == "random-lowest") return std::make_unique<Plain>(terms, seed, true);
+  if (name == "first-open") return std::make_unique<PlainPolicy>(settings, seed, false);
+  if (name == "random-lowest") return std::make_unique<PlainPolicy>(settings, seed, true);
   return nullptr;
 }
 
--- a/src/baseline/baseline.h
+++ b/src/baseline/baseline.h
@@ -1,4 +1,5 @@
-// Plain policies behind the same seam as the module, to measure against: never the product's choice.
+// Simple placement policies behind the interface of the decision module, for comparison in measurements. They
+// are not meant for production.
 #pragma once
 
 #include <memory>
@@ -9,9 +10,10 @@
 
 namespace lupinsill::baseline {
 
-// "first-open": the first ready holder in the list's order; "random-lowest": any ready holder, by chance.
-// Both at the lowest rung, and both try another holder where the rules let them. Null for a name not known.
-std::unique_ptr<session::Decider> makePolicy(const std::string& name, const ControlSettings& terms,
+// Creates a policy by name: "first-open" takes the ready holder with the lowest node id, "random-lowest" a
+// random ready holder. Both start at the lowest rung that the room type allows, and try another holder where
+// the rules allow it. Returns null for an unknown name.
+std::unique_ptr<session::Decider> makePolicy(const std::string& name, const ControlSettings& settings,
                                              std::uint64_t seed);
 std::vector<std::string> policyNames();
 
--- a/src/model/chance.cpp
+++ b/src/model/chance.cpp
@@ -1,17 +1,18 @@
+// Sampling without replacement.
 #include "model/chance.h"
 
 #include <algorithm>
 
 namespace lupinsill::model {
 
-std::vector<std::size_t> RandomSource::sample(std::size_t of, std::size_t n) {
-  std::vector<std::size_t> all(of);
-  for (std::size_t i = 0; i < of; ++i) all[i] = i;
-  n = std::min(n, of);
-  for (std::size_t i = 0; i < n; ++i) std::swap(all[i], all[i + below(of - i)]);
-  all.resize(n);
-  std::sort(all.begin(), all.end());
-  return all;
+std::vector<std::size_t> RandomSource::sample(std::size_t size, std::size_t count) {
+  std::vector<std::size_t> indexes(size);
+  for (std::size_t i = 0; i < size; ++i) indexes[i] = i;
+  count = std::min(count, size);
+  for (std::size_t i = 0; i < count; ++i) std::swap(indexes[i], indexes[i + below(size - i)]);
+  indexes.resize(count);
+  std::sort(indexes.begin(), indexes.end());
+  return indexes;
 }
 
 }  // namespace lupinsill::model
--- a/src/model/world.h
+++ b/src/model/world.h
@@ -1,6 +1,7 @@
-// The links that media nodes share: racks, uplinks, equal cuts, warm-up, and the benefit that streams earn on
-// them. Simulated in short steps on a clock that is handed in; nothing here is a measurement of a real
-// machine. Whole microseconds, kB a second. Not to be moved while stand-ins hold it.
+// Simulates the links that media nodes share: a link per node, an uplink per rack, equal reduction of all
+// streams on a link that is overloaded, the warm-up of cold nodes, and the benefit that streams earn.
+// Advances in short steps on a virtual clock that the caller passes in; the figures do not describe a real
+// machine. Times are microseconds and rates kB/s. Must not be moved while simulated nodes point to it.
 #pragma once
 
 #include <cstdint>
@@ -16,39 +17,45 @@
 using StreamId = std::uint64_t;
 
 struct NodeLoad {
-  double link = 0;       // asked over given
-  double uplink = 0;     // of its rack
-  double delivered = 1;  // share of the rates
+  double link = 0;       // demand over capacity of the node's link
+  double uplink = 0;     // demand over capacity of its rack's uplink
+  double delivered = 1;  // share of the streams' rates, smoothed
 };
 
-// What a fleet's links are like, beside what the deployment's terms state.
+// Properties of the links that the deployment's settings do not state.
 struct LinkParameters {
-  double linkKb = 0;  // the mean link of a warm node
-  double spread = 0;  // of links and uplinks about their means
-  int titles = 0;
+  double linkKb = 0;  // kB/s, mean link of a warm node
+  double spread = 0;  // largest deviation of links and uplinks, as a share of the mean
+  int titles = 0;     // number of titles, whose rates differ
 };
 
+// The links of all nodes and the streams on them.
 class LinkModel {
  public:
-  LinkModel(const ControlSettings& terms, const LinkParameters& plan, std::uint64_t seed);
+  LinkModel(const ControlSettings& settings, const LinkParameters& parameters, std::uint64_t seed);
 
   void addNode(NodeId node, int cell, Micros startedAt, bool coldStart);
   void removeNode(NodeId node);
-  StreamId startStream(NodeId node, int viewer, int roomType, int rung, int title, bool earns);
+  StreamId startStream(NodeId node, int viewer, int roomType, int rung, int title, bool earnsBenefit);
   void setRung(StreamId stream, int rung);
   void stopStream(StreamId stream);
+  // Advances to `now`: updates the loads and adds the benefit earned since the last step.
   void step(Micros now);
-  void stopEarningBenefit() { earning_ = false; }  // the day is over; what plays goes on
+  void stopEarningBenefit() { earning_ = false; }  // streams go on after the end of the day
 
-  void cutLink(NodeId node, double times) { nodes_[node].cut = times; }
-  void cutUplink(int rack, double times) { uplinkCut_[rack] = times; }
-  void stall(NodeId node, bool on) { nodes_[node].stalled = on; }
-  NodeLoad load(NodeId node, Micros late) const;
+  // Divides a capacity, as an injected fault; 1 ends it.
+  void cutLink(NodeId node, double divisor) { nodes_[node].divisor = divisor; }
+  void cutUplink(int rack, double divisor) { uplinkDivisor_[rack] = divisor; }
+  void stall(NodeId node, bool stalled) { nodes_[node].stalled = stalled; }
+  // The load of a node as it was `delay` before the last step.
+  NodeLoad load(NodeId node, Micros delay) const;
   std::size_t streams(NodeId node) const;
+  // Share of its full capacity that a node has: rises to 1 over the cold time after a cold start.
   double warmth(NodeId node, Micros now) const;
 
-  const std::map<int, double>& earnedBenefit() const { return earned_; }
-  double rungChanges() const { return rungSteps_; }
+  // Benefit by viewer.
+  const std::map<int, double>& earnedBenefit() const { return earnedBenefit_; }
+  double rungChanges() const { return rungChanges_; }
   double playedSeconds() const { return playedSeconds_; }
 
  private:
@@ -56,32 +63,32 @@
     int cell = 0;
     Micros startedAt = 0;
     bool coldStart = false;
-    double factor = 1;  // of its link, against the mean
-    double cut = 1;
-    bool stalled = false;
-    std::deque<std::pair<Micros, NodeLoad>> past;
+    double factor = 1;  // of its link's capacity, relative to the mean
+    double divisor = 1;
+    bool stalled = false;  // delivers nothing
+    std::deque<std::pair<Micros, NodeLoad>> history;
     std::size_t streams = 0;
   };
-  struct Playing {
+  struct ActiveStream {
     NodeId node;
     int viewer;
     int roomType;
     int rung;
-    double factor;  // of its title's rate
-    bool earns;
+    double factor;  // of its title's rate, relative to the mean
+    bool earnsBenefit;
   };
-  ControlSettings terms_;
-  LinkParameters plan_;
-  RandomSource chance_;
+  ControlSettings settings_;
+  LinkParameters parameters_;
+  RandomSource random_;
   std::map<NodeId, Node> nodes_;
-  std::map<StreamId, Playing> streams_;
-  std::map<int, double> uplinkFactor_, uplinkCut_;
+  std::map<StreamId, ActiveStream> streams_;
+  std::map<int, double> uplinkFactor_, uplinkDivisor_;
   std::map<int, double> titleFactor_;
-  std::map<int, double> earned_;
-  StreamId next_ = 0;
-  Micros last_ = 0;
+  std::map<int, double> earnedBenefit_;
+  StreamId lastStream_ = 0;
+  Micros lastStepAt_ = 0;
   bool earning_ = true;
-  double rungSteps_ = 0;
+  double rungChanges_ = 0;
   double playedSeconds_ = 0;
 };
 
