--- a/src/history/play.cpp
+++ b/src/history/play.cpp
@@ -264,7 +264,7 @@
   result_.record.directorKills.push_back({director.index, director.run, now_ - startTime});
   result_.heldByGuards += [&] {
     std::size_t held = 0;
-    for (const auto count : director.front->statistics().held) held += count;
+    for (const auto count : director.front->statistics().guardViolations) held += count;
     return held;
   }();
   director.up = false;
@@ -331,7 +331,7 @@
              if (!director.up || director.run != run) return;  // killed before the commit
              director.committing = false;
              for (const ledger::Write& write : writes) {
-               if (write.record.mark == ledger::RecordState::refused)
+               if (write.record.state == ledger::RecordState::refused)
                  director.stored.erase(write.record.key);
                else
                  director.stored[write.record.key] = write.record;
@@ -957,7 +957,7 @@
   }
   for (Director& director : directors_)
     if (director.up)
-      for (const auto count : director.front->statistics().held) result_.heldByGuards += count;
+      for (const auto count : director.front->statistics().guardViolations) result_.heldByGuards += count;
   audit::CheckSettings checkSettings;
   checkSettings.controlSettings = controlSettings_;
   checkSettings.clientTimeouts = history_.deployment.clientTimeouts;
