--- a/src/baseline/baseline.cpp
+++ b/src/baseline/baseline.cpp
@@ -82,12 +82,12 @@
     const bool lastJoin =
         room(subscription).effect != Effect::repeatable || subscription.joins >= settings_.maxJoins;
     actions_->push_back(
-        Join{subscription.info.sub, node, lastJoin ? 0 : std::min<Micros>(timeLeft, joinTimeout)});
+        Join{subscription.info.sub, node, lastJoin ? 0 : std::min(timeLeft, Micros{joinTimeout})});
   }
   void giveUp(const Subscription& subscription) {
     const SubscriptionId id = subscription.info.sub;
     if (!subscription.mayHaveRun || room(subscription).effect == Effect::repeatable)
-      actions_->push_back(Throttle{id, std::min<Micros>(settings_.maxRetryAfter, retryAfter)});
+      actions_->push_back(Throttle{id, std::min(settings_.maxRetryAfter, Micros{retryAfter})});
     else
       actions_->push_back(Terminate{id});
     subscriptions_.erase(id);
--- a/src/history/history.cpp
+++ b/src/history/history.cpp
@@ -14,8 +14,8 @@
 namespace lupinsill::history {
 namespace {
 
-// Random streams are numbered so that a change of one does not shift the others.
-constexpr std::uint64_t generatorStream = 77;
+// Purpose of the random source (model/chance.h).
+constexpr std::uint64_t generatorPurpose = 77;
 
 constexpr Micros ms = 1'000;
 constexpr Micros second = 1'000'000;
@@ -117,7 +117,7 @@
 }
 
 History generate(const std::string& settingsFile, std::uint64_t seed) {
-  model::RandomSource random(seed, generatorStream);
+  model::RandomSource random(seed, generatorPurpose);
   History history;
   history.settingsFile = settingsFile;
   history.deployment = settings::readDeployment(settingsFile);
--- a/src/history/history.h
+++ b/src/history/history.h
@@ -60,7 +60,9 @@
   std::vector<HistoryEvent> events;                      // by time
 };
 
+// Reads a history and the deployment that its settings file describes.
 History read(const std::string& file);
+// Writes a history in the file format that read() accepts.
 void write(std::ostream& out, const History& history);
 
 // Generates a random history for a deployment, with requests, leaving viewers and a few faults and restarts.
--- a/src/history/play.cpp
+++ b/src/history/play.cpp
@@ -39,7 +39,7 @@
 constexpr double linkSpread = 0.15;          // of the capacities of links, as a share of the mean
 constexpr int titleCount = 64;
 constexpr double coldTolerance = 2;  // set-ups over the limit that a cold node survives; the audit allows 1
-constexpr std::uint64_t replayStream = 78;  // of random numbers, apart from the generator's
+constexpr std::uint64_t replayPurpose = 78;  // of the random source; the generator has another
 
 // One replay: all simulated processes, their scheduler and the record of what was observed.
 class Replay {
@@ -69,6 +69,7 @@
     bool connecting = false;
     Micros nodeStartedAt = 0;  // start time of the node process that it was written to
   };
+  // A simulated director process; a restart uses the same object for the next run.
   struct Director {
     int index = 0;
     int run = 0;  // number of the process: a restart begins another run
@@ -83,13 +84,13 @@
     std::map<NodeId, Micros> connected;                         // nodes, with the start time of the process
     std::map<CallId, std::pair<int, client::AttemptId>> calls;  // app and its attempt
     std::map<CallId, std::size_t> recordIndexes;
-    CallId nextCallId = 0;
+    CallId lastCallId = 0;
     Micros nextTurnAt = 0;
     Micros listDelay = 0, commitTime = 2 * ms;
     bool committing = false;
     std::vector<ledger::Write> unsavedWrites;
-    std::map<ledger::Digest, ledger::Record> stored;
-    fleet::NodeList cachedList;  // the copy on its disk, which survives a restart
+    std::map<ledger::Digest, ledger::Record> stored;  // the ledger on its disk
+    fleet::NodeList cachedList;                       // the copy on its disk, which survives a restart
     bool hasCachedList = false;
     std::string name() const { return "d" + std::to_string(index) + "-" + std::to_string(run); }
   };
@@ -104,6 +105,7 @@
   void startJoin(Director& director, const session::SetUp& command);
   void writeSetUp(Director& director, JoinId id);
   void endJoin(Director& director, JoinId id, Outcome outcome, bool settled);
+  // Publishes a new version of the node list, without the given nodes, to all directors.
   void publishList(std::set<NodeId> without = {});
   void sendList(Director& director, const fleet::NodeList& list, Micros delay);
   void applyList(Director& director, const fleet::NodeList& list);
@@ -118,6 +120,7 @@
     bool ran = false, ended = false;
     model::StreamId stream = 0;
   };
+  // A simulated media node.
   struct Node {
     NodeId id = 0;
     int cell = 0;
@@ -132,9 +135,11 @@
     std::deque<Micros> coldSetUps;  // times of set-ups within the fall time
     Micros reportedAt = 0;
   };
+  // Starts a new node process; a cold one needs the cold time to reach its full capacity.
   void startNode(int cell, bool cold);
   void receiveSetUp(Node& node, Director& director, const session::SetUp& command);
   void handleSetUp(Node& node, const std::shared_ptr<Session>& session);
+  // The set-up is complete: the stream runs until the viewer has watched long enough.
   void startSession(Node& node, const std::shared_ptr<Session>& session);
   void endSession(Node& node, Session& session);
   void killNode(Node& node);
@@ -145,12 +150,14 @@
   }
 
   // ---- players ----
+  // A request of the history, with its state in the client core of its app.
   struct ViewerRequest {
     HistoryEvent event;
     int app = 0;
     bool ended = false;
     client::AttemptId playingAttempt = 0;
   };
+  // A connection of a player to a director for one attempt of its request.
   struct Attempt {
     int viewer = 0;
     int director = 0, run = 0;
@@ -184,8 +191,8 @@
   model::LinkModel links_;
   std::vector<Director> directors_;
   std::map<NodeId, std::unique_ptr<Node>> nodes_;
-  NodeId nextNode_ = 0;
-  std::uint64_t version_ = 0;
+  NodeId lastNodeId_ = 0;
+  std::uint64_t listVersion_ = 0;
   fleet::NodeList publishedList_, previousList_;
   std::vector<std::unique_ptr<client::Core>> apps_;
   std::vector<std::vector<client::Action>> actions_;
@@ -198,7 +205,7 @@
     : history_(history),
       faultName_(faultName),
       controlSettings_(history.deployment.terms),
-      random_(history.seed, replayStream),
+      random_(history.seed, replayPurpose),
       links_(controlSettings_, {history.linkKb, linkSpread, titleCount}, history.seed) {
   directors_.resize(static_cast<std::size_t>(history_.directors));
   std::vector<client::DirectorEndpoint> endpoints;
@@ -458,7 +465,7 @@
 void Replay::publishList(std::set<NodeId> without) {
   previousList_ = publishedList_;
   publishedList_ = {};
-  publishedList_.version = ++version_;
+  publishedList_.version = ++listVersion_;
   for (const auto& [id, node] : nodes_) {
     if (!node->published || without.contains(id)) continue;
     fleet::NodeEndpoint endpoint;
@@ -505,7 +512,7 @@
 
 void Replay::startNode(int cell, bool cold) {
   auto node = std::make_unique<Node>();
-  node->id = ++nextNode_;
+  node->id = ++lastNodeId_;
   node->cell = cell;
   node->cold = cold;
   node->startedAt = now_;
@@ -711,7 +718,7 @@
     }
     current.run = director.run;
     // The kernel accepts a connection to a stalled director; the director greets the player after it resumes.
-    current.callId = ++director.nextCallId;
+    current.callId = ++director.lastCallId;
     director.calls[current.callId] = {app, id};
     deliver(director, [this, app, id] { receiveHello(app, id); });
   });
--- a/src/history/play.h
+++ b/src/history/play.h
@@ -23,7 +23,7 @@
   std::size_t violations() const;  // over all rules
 };
 
-// `faultName` names a fault to inject (lab/plant.h); empty for none.
+// Replays a history and checks the record. `faultName` names a fault to inject (lab/plant.h); empty for none.
 ReplayResult play(const History& history, const std::string& faultName = "");
 
 // A table of the rules followed by a line of totals.
--- a/src/model/world.cpp
+++ b/src/model/world.cpp
@@ -6,7 +6,7 @@
 namespace lupinsill::model {
 namespace {
 constexpr Micros historyKept = 6'000'000;  // loads older than this are dropped
-constexpr std::uint64_t linkStream = 2;    // purpose of the random source
+constexpr std::uint64_t linkPurpose = 2;   // purpose of the random source
 constexpr double titleSpread = 0.15;       // of the rates of titles
 constexpr double fullyDelivered = 0.98;    // share of its rate from which a stream earns its full benefit
 constexpr double missingCost = 6;          // share of the benefit lost per share of the rate that is missing
@@ -16,7 +16,7 @@
 }  // namespace
 
 LinkModel::LinkModel(const ControlSettings& settings, const LinkParameters& parameters, std::uint64_t seed)
-    : settings_(settings), parameters_(parameters), random_(seed, linkStream) {
+    : settings_(settings), parameters_(parameters), random_(seed, linkPurpose) {
   for (int rack = 0; rack < std::max(1, settings.racks); ++rack) {
     uplinkFactor_[rack] = 1 + random_.between(-parameters.spread, parameters.spread);
     uplinkDivisor_[rack] = 1;
