--- a/src/history/play.cpp
+++ b/src/history/play.cpp
@@ -218,7 +218,7 @@
   attempts_.resize(appCount);
   for (int app = 0; app < appCount; ++app) {
     client::RetryPolicy policy;
-    policy.building = "zone" + std::to_string(app % history_.zones);
+    policy.zone = "zone" + std::to_string(app % history_.zones);
     // Half of the apps never time out an attempt, so that a missing answer shows in the record.
     if (app % 2 == 0) policy.attemptTimeout = unlimited;
     apps_.push_back(
