--- a/src/simulator/codec.cpp
+++ b/src/simulator/codec.cpp
@@ -19,7 +19,7 @@
 SubscriptionId parseSubscriptionId(const Json& value) {
   const std::string text = parseText(value, "rid");
   if (text.size() != 16 || text.find_first_not_of("0123456789abcdef") != std::string::npos)
-    bad("rid", "not 16 hex digits");
+    failInvalid("rid", "not 16 hex digits");
   return std::stoull(text, nullptr, 16);
 }
 
@@ -46,9 +46,9 @@
 LoadReport parseLoadReport(const Json& telemetry) {
   LoadReport report;
   if (telemetry.is_null()) return report;
-  if (!telemetry.is_object()) bad("telemetry", "not an object");
-  for (const auto& [name, member] : control_settings::reported)
-    if (const Json* value = found(telemetry, name)) report.*member = parseNumber(*value, name);
+  if (!telemetry.is_object()) failInvalid("telemetry", "not an object");
+  for (const auto& [name, member] : control_settings::loadReportFields)
+    if (const Json* value = findMember(telemetry, name)) report.*member = parseNumber(*value, name);
   return report;
 }
 
@@ -63,10 +63,10 @@
   info.title = m.value(fields.show).is_null() ? "" : parseText(m.value(fields.show), "show");
   info.viewer = m.value(fields.routeKey).is_null() ? "" : parseText(m.value(fields.routeKey), "routeKey");
   const std::string type = m.text(fields.kind, "kind");
-  info.roomType = placeOf(names.roomTypes, type);
-  if (info.roomType < 0) bad("kind", "unknown class '" + type + "'");
+  info.roomType = indexOf(names.roomTypes, type);
+  if (info.roomType < 0) failInvalid("kind", "unknown class '" + type + "'");
   if (m.value(fields.account).is_string())
-    info.party = placeOf(names.parties, m.value(fields.account).get<std::string>());
+    info.party = indexOf(names.parties, m.value(fields.account).get<std::string>());
   info.firstCell = parseSmallInteger(m.value(fields.firstCell), "firstCell", 0);
   info.holders = parseSmallInteger(m.value(fields.holders), "holders", 1'000'000);
   info.top = parseSmallInteger(m.value(fields.top), "top", 1'000'000);
@@ -89,7 +89,7 @@
 
 Message::Message(const Json& array) : array_(array) {
   if (!array.is_array() || array.empty() || !array[0].is_string())
-    bad("message", "not an array that starts with a name");
+    failInvalid("message", "not an array that starts with a name");
   name_ = array[0].get<std::string>();
 }
 const Json& Message::value(std::size_t index) const {
@@ -118,14 +118,14 @@
 }
 
 std::vector<ListEntry> parseListEntries(const Json& rows, const Names& names) {
-  if (!rows.is_array()) bad("membersList", "not an array");
+  if (!rows.is_array()) failInvalid("membersList", "not an array");
   std::vector<ListEntry> entries;
   for (const Json& row : rows) {
-    if (!row.is_array() || row.size() < 3) bad("membersList", "an entry is not an array of values");
+    if (!row.is_array() || row.size() < 3) failInvalid("membersList", "an entry is not an array of values");
     const auto column = [&](std::size_t index) { return itemIn(row, index); };
     ListEntry entry;
     entry.state = parseNodeState(parseText(row[0], "status"));
-    if (const Json* v = column(1)) entry.kind = placeOf(names.kinds, parseText(*v, "model"));
+    if (const Json* v = column(1)) entry.kind = indexOf(names.kinds, parseText(*v, "model"));
     entry.node = parseNodeId(row[2]);
     if (const Json* v = column(3)) entry.weight = parseNumber(*v, "size");
     if (const Json* v = column(4))
@@ -143,7 +143,7 @@
   const std::string& name = m.name();
   if (name == "Demand") {
     SubscriptionInfo subscription = parseSubscription(m, names, {3, 4, 5, 6, 7, 8, 9, 10, 11, 12});
-    if (m.value(6).is_null()) bad("notAfterNs", "missing");
+    if (m.value(6).is_null()) failInvalid("notAfterNs", "missing");
     return {SubscriptionRequested{std::move(subscription)}};
   }
   if (name == "Preexisting")
@@ -153,14 +153,14 @@
     return {JoinStarted{parseSubscriptionId(m.value(2)), parseSmallInteger(m.value(3), "attempt", 0)}};
   if (name == "Change") {
     const std::int64_t kind = parseInteger(m.value(5), "kind");
-    if (kind < 1 || kind > 4) bad("kind", "unknown note " + std::to_string(kind));
+    if (kind < 1 || kind > 4) failInvalid("kind", "unknown note " + std::to_string(kind));
     constexpr MeasurementKind measurementKinds[] = {MeasurementKind::delivered, MeasurementKind::rung,
                                                     MeasurementKind::link, MeasurementKind::uplink};
     return {MeasurementReported{parseSubscriptionId(m.value(2)), parseNodeId(m.value(4)),
                                 measurementKinds[kind - 1], parseNumber(m.value(6), "x")}};
   }
   if (name == "Response") {
-    if (!m.value(7).is_boolean()) bad("settled", "not true or false");
+    if (!m.value(7).is_boolean()) failInvalid("settled", "not true or false");
     const Outcome outcome = parseEnum<Outcome>(m.text(4, "rc"), "rc",
                                                {{"ok", Outcome::ok},
                                                 {"error", Outcome::error},
