--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -73,7 +73,7 @@
   std::fputs(lab::shown(result).c_str(), stdout);
   if (!options.plant.empty()) {
     const lab::Plant& plant = *lab::findPlant(options.plant);
-    const bool caught = result.rows[static_cast<std::size_t>(plant.rule - 1)].broken > 0;
+    const bool caught = result.rows[static_cast<std::size_t>(plant.rule - 1)].violations > 0;
     std::printf("plant %s: %s by rule %d\n", plant.name, caught ? "caught" : "NOT caught", plant.rule);
     // A caught fault has the exit code of a broken rule; one that was not caught has another.
     return caught ? exitFaultFound : exitEnvironment;
@@ -106,7 +106,7 @@
       std::printf("replay: lupinsill lab history --settings %s --seed %llu%s\n", settings.c_str(),
                   static_cast<unsigned long long>(seed + i),
                   plant.empty() ? "" : (" --plant " + plant).c_str());
-    broken += played.broken();
+    broken += played.violations();
   }
   if (print) return 0;
   if (broken > 0) return fail(exitFaultFound, "rules broken: " + std::to_string(broken));
