--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -82,7 +82,7 @@
   if (result.untested() > 0)
     return fail(exitFaultFound, "rules not put to the test: " + std::to_string(result.untested()));
   if (!result.cleanEnd) return fail(exitFaultFound, "a director did not end cleanly");
-  std::puts("no rule broken, each rule tested");
+  std::puts("no rule broken, each put to the test");
   return 0;
 }
 
@@ -93,16 +93,17 @@
   std::size_t broken = 0;
   std::map<std::string, std::size_t> tested;
   for (std::uint64_t i = 0; i < (file.empty() ? seeds : 1); ++i) {
-    const history::History history = file.empty() ? history::draw(settings, seed + i) : history::read(file);
+    const history::History history =
+        file.empty() ? history::generate(settings, seed + i) : history::read(file);
     if (print) {
       history::write(std::cout, history);
       continue;
     }
-    const history::Played played = history::play(history, plant);
-    for (const audit::Row& row : played.rows) tested[row.rule] += row.tested;
-    if (seeds == 1 || !file.empty() || played.broken() > 0)
-      std::fputs(history::shown(played).c_str(), stdout);
-    if (played.broken() > 0 && file.empty())
+    const history::ReplayResult played = history::play(history, plant);
+    for (const audit::RuleResult& row : played.ruleResults) tested[row.rule] += row.tested;
+    if (seeds == 1 || !file.empty() || played.violations() > 0)
+      std::fputs(history::format(played).c_str(), stdout);
+    if (played.violations() > 0 && file.empty())
       std::printf("replay: lupinsill lab history --settings %s --seed %llu%s\n", settings.c_str(),
                   static_cast<unsigned long long>(seed + i),
                   plant.empty() ? "" : (" --plant " + plant).c_str());
@@ -112,7 +113,7 @@
   if (broken > 0) return fail(exitFaultFound, "rules broken: " + std::to_string(broken));
   for (const auto& [rule, times] : tested)
     if (times == 0) return fail(exitFaultFound, "not put to the test: " + rule);
-  std::puts("no rule broken, each rule tested");
+  std::puts("no rule broken, each put to the test");
   return 0;
 }
 
@@ -297,11 +298,11 @@
     if (directorCommand->parsed()) {
       if (!plant.empty()) directorOptions.hooks = lab::hooksOf(plant);
       if (!policy.empty()) {
-        const auto policies = baseline::names();
+        const auto policies = baseline::policyNames();
         if (std::find(policies.begin(), policies.end(), policy) == policies.end())
           return fail(exitUsage, "--policy " + policy + ": expected first-open or random-lowest");
         directorOptions.hooks.makeDecider = [policy](const ControlSettings& settings, std::uint64_t seed) {
-          return baseline::make(policy, settings, seed);
+          return baseline::makePolicy(policy, settings, seed);
         };
       }
       return director::run(directorOptions);
--- a/src/history/history.cpp
+++ b/src/history/history.cpp
@@ -44,11 +44,11 @@
 
 History read(const std::string& file) {
   std::ifstream in(file);
-  if (!in) throw settings::BadSettings(file + ": cannot be read");
+  if (!in) throw settings::SettingsError(file + ": cannot be read");
   History history;
   int lineNumber = 0;
   const auto fail = [&](const std::string& reason) {
-    throw settings::BadSettings(file + ":" + std::to_string(lineNumber) + ": " + reason);
+    throw settings::SettingsError(file + ":" + std::to_string(lineNumber) + ": " + reason);
   };
   for (std::string line; std::getline(in, line);) {
     ++lineNumber;
@@ -85,7 +85,8 @@
       double length = 0;
       if (!(fields >> event.room >> event.title >> event.top >> length))
         fail("room, title, top and length expected");
-      if (event.room < 0 || event.room >= static_cast<int>(history.deployment.terms.roomTypes.size()))
+      if (event.room < 0 ||
+          event.room >= static_cast<int>(history.deployment.controlSettings.roomTypes.size()))
         fail("no such room");
       event.length = static_cast<Micros>(length * ms);
     } else {
@@ -122,7 +123,7 @@
   history.settingsFile = settingsFile;
   history.deployment = settings::readDeployment(settingsFile);
   history.seed = seed;
-  const ControlSettings& controlSettings = history.deployment.terms;
+  const ControlSettings& controlSettings = history.deployment.controlSettings;
   history.directors = 1 + static_cast<int>(random.below(4));
   const bool powerCut = seed % 8 == 0;
   if (powerCut) history.directors = 12;
--- a/src/history/history.h
+++ b/src/history/history.h
@@ -1,7 +1,7 @@
 // A history is a trace of external events on a deployment: requests of viewers, faults, and changes of nodes
 // and directors, in order of time. It is recorded from a day of the lab or generated from a seed, and
 // replayed on a virtual clock (history/play.h). File format: docs/protocol/history.md.
-// Errors: settings::BadSettings.
+// Errors: settings::SettingsError.
 #pragma once
 
 #include <cstdint>
--- a/src/history/play.cpp
+++ b/src/history/play.cpp
@@ -75,7 +75,7 @@
     int run = 0;  // number of the process: a restart begins another run
     bool up = false, stalled = false;
     std::string zone;
-    director::Hooks hooks;
+    director::FaultHooks hooks;
     std::unique_ptr<fleet::Membership> membership;
     std::unique_ptr<session::Front> front;
     std::unique_ptr<admission::RequestTranslator> translator;
@@ -204,7 +204,7 @@
 Replay::Replay(const History& history, const std::string& faultName)
     : history_(history),
       faultName_(faultName),
-      controlSettings_(history.deployment.terms),
+      controlSettings_(history.deployment.controlSettings),
       random_(history.seed, replayPurpose),
       links_(controlSettings_, {history.linkKb, linkSpread, titleCount}, history.seed) {
   directors_.resize(static_cast<std::size_t>(history_.directors));
@@ -240,22 +240,22 @@
   settings.zone = director.zone;
   settings.directors = history_.directors;
   settings.ordinal = director.index;
-  session::Limits limits = history_.deployment.bounds;
+  session::Limits limits = history_.deployment.sessionLimits;
   limits.guardsEnabled = director.hooks.guardsEnabled;
-  limits.keysStored = director.hooks.recorded;
+  limits.keysStored = director.hooks.ledgerEnabled;
   const std::uint64_t seed =
       history_.seed * 1000 + static_cast<std::uint64_t>(director.index * 50 + director.run);
-  std::unique_ptr<session::Decider> decider = director.hooks.decider
-                                                  ? director.hooks.decider(settings, seed)
+  std::unique_ptr<session::Decider> decider = director.hooks.makeDecider
+                                                  ? director.hooks.makeDecider(settings, seed)
                                                   : std::make_unique<session::ControlDecider>(settings, seed);
   director.membership =
-      std::make_unique<fleet::Membership>(settings.cells, history_.deployment.leastKept, limits.grace);
+      std::make_unique<fleet::Membership>(settings.cells, history_.deployment.minRetainedShare, limits.grace);
   director.front = std::make_unique<session::Front>(settings, limits, std::move(decider));
   director.translator = std::make_unique<admission::RequestTranslator>(
       admission::RequestTranslator::Names{"d" + std::to_string(director.index), history_.deployment.roomTypes,
                                           history_.deployment.tenants, history_.deployment.clientTimeouts},
       settings.roomTypes);
-  if (director.hooks.recorded) {
+  if (director.hooks.ledgerEnabled) {
     std::vector<ledger::Record> records;
     for (const auto& [key, record] : director.stored) records.push_back(record);
     director.front->recover(now_, records, true);
@@ -320,9 +320,9 @@
     director.front->listUpdated(std::move(update));
   std::vector<session::Command> commands;
   director.front->processTurn(now_, commands);
-  if (director.hooks.tamper) director.hooks.tamper(now_, commands);
+  if (director.hooks.alterCommands) director.hooks.alterCommands(now_, commands);
   for (const session::Command& command : commands) execute(director, command);
-  if (const auto writes = director.front->takeWrites(); director.hooks.recorded) {
+  if (const auto writes = director.front->takeWrites(); director.hooks.ledgerEnabled) {
     director.unsavedWrites.insert(director.unsavedWrites.end(), writes.begin(), writes.end());
     commit(director);
   }
@@ -968,7 +968,7 @@
   audit::CheckSettings checkSettings;
   checkSettings.controlSettings = controlSettings_;
   checkSettings.clientTimeouts = history_.deployment.clientTimeouts;
-  checkSettings.grace = history_.deployment.bounds.grace;
+  checkSettings.grace = history_.deployment.sessionLimits.grace;
   result_.ruleResults = audit::check(result_.record, checkSettings);
   return std::move(result_);
 }
--- a/tests/history_test.cpp
+++ b/tests/history_test.cpp
@@ -83,8 +83,8 @@
   history.directors = 1;
   history.nodes = 1;
   history.linkKb = 100'000;
-  history.deployment.terms.totalLinkKb = history.deployment.terms.weightKb = 100'000;
-  history.deployment.terms.rackUplinkKb = 1'000'000;
+  history.deployment.controlSettings.totalLinkKb = history.deployment.controlSettings.weightKb = 100'000;
+  history.deployment.controlSettings.rackUplinkKb = 1'000'000;
   const auto addEvent = [&](Micros at, history::EventKind kind, int subject, double value, int room) {
     history.events.push_back({at * 1000, kind, subject, value, room, subject % 20, 1, 3'000'000});
   };
