--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -67,9 +67,9 @@
 
 int runLab(const lab::RunOptions& options) {
   const lab::RunResult result = lab::runDay(options);
-  std::fputs(lab::shown(result).c_str(), stdout);
+  std::fputs(lab::formatReport(result).c_str(), stdout);
   if (!options.plant.empty()) {
-    const lab::Plant& plant = *lab::findPlant(options.plant);
+    const lab::PlantedFault& plant = *lab::findPlantedFault(options.plant);
     const bool caught = result.rows[static_cast<std::size_t>(plant.rule - 1)].broken > 0;
     std::printf("plant %s: %s by rule %d\n", plant.name, caught ? "caught" : "NOT caught", plant.rule);
     // A plant makes a day fail; one that nobody caught is told apart by its own code.
@@ -114,7 +114,7 @@
 
 int playClients(const lab::ClientsOptions& options) {
   const lab::ClientsResult result = lab::runClients(options);
-  std::fputs(lab::shown(result).c_str(), stdout);
+  std::fputs(lab::formatReport(result).c_str(), stdout);
   if (!options.plant.empty()) {
     std::printf("plant %s: %s\n", options.plant.c_str(), result.findings.empty() ? "NOT caught" : "caught");
     return result.findings.empty() ? refused : found;
@@ -213,7 +213,7 @@
                   "Plant a fault (see `lab plants`); ends 1 where its rule catches it");
   day->add_option("--policy", options.policy, "A baseline in place of the module: first-open, random-lowest");
   day->add_option("--history", options.historyFile, "Write what happened to this file, for `lab history`");
-  day->add_option("--keep", options.keepIn, "Keep settings, lists and logs in this folder");
+  day->add_option("--keep", options.keepFolder, "Keep settings, lists and logs in this folder");
   day->footer("Example: lupinsill lab run examples/days/bad-evening.xml --plant second-join");
   CLI::App* plants = labs->add_subcommand("plants", "List the faults that can be planted");
   plants->footer("Example: lupinsill lab plants");
@@ -233,7 +233,7 @@
                       "ledger-forgets or budget-ignored; ends 1 where caught");
   clients->add_option("--crowd", clientsOptions.crowd, "Wishes of each crowd; 0 leaves them out")
       ->capture_default_str();
-  clients->add_option("--keep", clientsOptions.keepIn, "Keep settings and logs in this folder");
+  clients->add_option("--keep", clientsOptions.keepFolder, "Keep settings and logs in this folder");
   clients->footer(
       "Example: lupinsill lab clients --seed 1 --typescript "
       "client/typescript/dist/typescript/tools/play.js");
@@ -268,7 +268,7 @@
   }
   try {
     if (run->parsed()) {
-      if (!plant.empty()) start.hooks = lab::hooksOf(plant);
+      if (!plant.empty()) start.hooks = lab::hooksForFault(plant);
       if (!policy.empty()) {
         const auto known = baseline::names();
         if (std::find(known.begin(), known.end(), policy) == known.end())
@@ -296,7 +296,7 @@
     if (metrics->parsed()) return askDirector(admin, "GET", "/metrics");
     if (drain->parsed()) return askDirector(admin, "POST", off ? "/undrain" : "/drain");
     if (histories->parsed()) {
-      if (!historyPlant.empty() && lab::findPlant(historyPlant) == nullptr)
+      if (!historyPlant.empty() && lab::findPlantedFault(historyPlant) == nullptr)
         return complain(wrong, "--plant " + historyPlant + ": see `lupinsill lab plants`");
       return playHistories(historyFile, historySettings, historySeed, historySeeds, historyPlant,
                            printHistory);
@@ -310,7 +310,7 @@
       return playClients(clientsOptions);
     }
     if (plants->parsed()) {
-      for (const lab::Plant& p : lab::plants()) std::printf("%s\n", p.name);
+      for (const lab::PlantedFault& p : lab::plantedFaults()) std::printf("%s\n", p.name);
       return 0;
     }
     if (import->parsed()) {
@@ -318,7 +318,7 @@
       return 0;
     }
     if (day->parsed()) {
-      if (!options.plant.empty() && lab::findPlant(options.plant) == nullptr)
+      if (!options.plant.empty() && lab::findPlantedFault(options.plant) == nullptr)
         return complain(wrong, "--plant " + options.plant + ": see `lupinsill lab plants`");
       return runLab(options);
     }
--- a/src/history/play.cpp
+++ b/src/history/play.cpp
@@ -209,7 +209,7 @@
   d.turnAt = 0;
   d.committing = false;
   d.unsaved.clear();
-  if (!plant_.empty()) d.hooks = lab::hooksOf(plant_);
+  if (!plant_.empty()) d.hooks = lab::hooksForFault(plant_);
   ControlSettings terms = terms_;
   terms.zone = d.zone;
   terms.directors = h_.directors;
--- a/src/lab/clients.cpp
+++ b/src/lab/clients.cpp
@@ -304,7 +304,7 @@
     for (std::string line; std::getline(in, line);)
       if (!line.empty()) result.sequences.push_back(client_script::readLine(line));
   }
-  std::string folder = options.keepIn;
+  std::string folder = options.keepFolder;
   if (folder.empty()) {
     folder = std::filesystem::temp_directory_path() / "lupinsill-clients-XXXXXX";
     if (mkdtemp(folder.data()) == nullptr) throw std::runtime_error(folder + ": cannot be made");
@@ -350,11 +350,11 @@
       result.findings.push_back({"storm of " + one.who, std::to_string(one.asks) + " asks, at most " +
                                                             std::to_string(one.askMost) +
                                                             " within the budget"});
-  if (options.keepIn.empty()) std::filesystem::remove_all(folder);
+  if (options.keepFolder.empty()) std::filesystem::remove_all(folder);
   return result;
 }
 
-std::string shown(const ClientsResult& result) {
+std::string formatReport(const ClientsResult& result) {
   std::ostringstream out;
   struct Row {
     int wishes = 0, setUps = 0;
--- a/src/lab/clients.h
+++ b/src/lab/clients.h
@@ -18,7 +18,7 @@
   std::string scriptFile;  // empty: drawn
   std::string player;      // the TypeScript library's play.js; empty: that library is left out
   std::string plant;       // ledger-forgets, budget-ignored
-  std::string keepIn;
+  std::string keepFolder;
   int crowd = 300;  // wishes of each crowd; 0: none
 };
 
@@ -39,6 +39,6 @@
 };
 
 ClientsResult runClients(const ClientsOptions& options);
-std::string shown(const ClientsResult& result);
+std::string formatReport(const ClientsResult& result);
 
 }  // namespace lupinsill::lab
--- a/src/lab/plant.cpp
+++ b/src/lab/plant.cpp
@@ -170,8 +170,8 @@
 
 }  // namespace
 
-const std::vector<Plant>& plants() {
-  static const std::vector<Plant> all{
+const std::vector<PlantedFault>& plantedFaults() {
+  static const std::vector<PlantedFault> all{
       {"answer-lost", 1, "every tenth answer never leaves"},
       {"answer-late", 1, "every tenth answer leaves 5.5 s late"},
       {"answer-twice", 1, "every tenth answer leaves twice"},
@@ -188,20 +188,20 @@
   return all;
 }
 
-const Plant* findPlant(const std::string& name) {
-  for (const Plant& plant : plants())
+const PlantedFault* findPlantedFault(const std::string& name) {
+  for (const PlantedFault& plant : plantedFaults())
     if (plant.name == name) return &plant;
   return nullptr;
 }
 
-director::Hooks hooksOf(const std::string& name) {
+director::Hooks hooksForFault(const std::string& name) {
   if (name == "titles" || name == "titles-unrecorded") {
     director::Hooks titled;
     titled.at = ByTitle();
     titled.recorded = name == "titles";
     return titled;
   }
-  if (findPlant(name) == nullptr)
+  if (findPlantedFault(name) == nullptr)
     throw std::runtime_error("plant '" + name + "': see `lupinsill lab plants`");
   director::Hooks hooks;
   if (name == "second-join" || name.starts_with("answer-")) {
--- a/src/lab/run.cpp
+++ b/src/lab/run.cpp
@@ -460,7 +460,7 @@
 
 RunResult runDay(const RunOptions& options) {
   if (sodium_init() < 0) throw std::runtime_error("libsodium cannot start");
-  std::string folder = options.keepIn;
+  std::string folder = options.keepFolder;
   if (folder.empty()) {
     const char* under = std::getenv("TMPDIR");
     folder = std::string(under == nullptr ? "/tmp" : under) + "/lupinsill-lab-XXXXXX";
@@ -475,12 +475,12 @@
       std::error_code ignored;
       if (!folder.empty()) std::filesystem::remove_all(folder, ignored);
     }
-  } cleaner{options.keepIn.empty() ? folder : ""};
+  } cleaner{options.keepFolder.empty() ? folder : ""};
   Laboratory laboratory(options, folder);
   return laboratory.play();
 }
 
-std::string shown(const RunResult& r) {
+std::string formatReport(const RunResult& r) {
   std::string out;
   char line[400];
   std::snprintf(line, sizeof line, "%-22s %8s %8s   %s\n", "rule", "tested", "broken",
--- a/src/lab/run.h
+++ b/src/lab/run.h
@@ -15,7 +15,7 @@
   std::string plant;
   std::string policy;       // a baseline's name; empty: the module
   std::string historyFile;  // where to write what happened, for `lab history`; empty: nowhere
-  std::string keepIn;       // folder for settings, lists and logs of the directors; empty: a temporary one
+  std::string keepFolder;   // folder for settings, lists and logs of the directors; empty: a temporary one
 };
 
 struct RunResult {
@@ -31,6 +31,6 @@
 };
 
 RunResult runDay(const RunOptions& options);
-std::string shown(const RunResult& result);
+std::string formatReport(const RunResult& result);
 
 }  // namespace lupinsill::lab
--- a/tests/history_test.cpp
+++ b/tests/history_test.cpp
@@ -46,7 +46,7 @@
   const history::Played played = history::play(drawn, one.plant);
   INFO(one.plant << '\n' << history::shown(played));
   const history::Played sound = history::play(drawn);
-  const auto rule = static_cast<std::size_t>(lab::findPlant(one.plant)->rule);
+  const auto rule = static_cast<std::size_t>(lab::findPlantedFault(one.plant)->rule);
   for (std::size_t i = 0; i < played.rows.size(); ++i) {
     CHECK((played.rows[i].broken > 0) == (i + 1 == rule));
     CHECK(sound.rows[i].broken == 0);
