--- a/src/lab/clients.h
+++ b/src/lab/clients.h
@@ -23,19 +23,19 @@
 };
 
 // A crowd of safe wishes while every director fails a share of asks.
-struct Storm {
-  std::string who, plan;
+struct RetryStorm {
+  std::string client, plan;
   double share = 0;
-  int wishes = 0, playing = 0;
-  std::uint64_t asks = 0;     // sent
-  std::uint64_t askMost = 0;  // that the budget allows; 0: none is stated
+  int requests = 0, playing = 0;
+  std::uint64_t requestsSent = 0;     // sent
+  std::uint64_t maxRequestsSent = 0;  // that the budget allows; 0: none is stated
 };
 
 struct ClientsResult {
   std::vector<client_script::Sequence> sequences;
   std::vector<client_script::Library> libraries;
   std::vector<client_script::Finding> findings;
-  std::vector<Storm> storms;
+  std::vector<RetryStorm> retryStorms;
 };
 
 ClientsResult runClients(const ClientsOptions& options);
--- a/src/lab/counting.cpp
+++ b/src/lab/counting.cpp
@@ -11,12 +11,12 @@
   CountingNodes* owner = nullptr;
   net::BufferEvent bufferEvent;
   media::Reader reader;
-  std::set<std::string> silent;  // set-ups that go on without answers, by what pipelines them
+  std::set<std::string> unansweredSessions;  // set-ups that go on without answers, by what pipelines them
   bool dead = false;
 };
 
-CountingNodes::CountingNodes(event_base* base, int count, AtNode atNode)
-    : base_(base), atNode_(std::move(atNode)) {
+CountingNodes::CountingNodes(event_base* base, int count, KillHandler killHandler)
+    : base_(base), killHandler_(std::move(killHandler)) {
   for (int i = 0; i < count; ++i) listeners_.push_back(net::listenOn(base, "127.0.0.1", 0, onAccept, this));
 }
 CountingNodes::~CountingNodes() = default;
@@ -74,22 +74,22 @@
     ++setUps_[named.title];
     const std::string plan = named.title.substr(0, named.title.find('.'));
     const std::string key = media::unescaped(message.header("Lupinsill-Ask"));
-    if (plan == "drop") connection.silent.insert(pipelined);
+    if (plan == "drop") connection.unansweredSessions.insert(pipelined);
     if (plan == "cut") {
       connection.dead = true;
       connection.bufferEvent.reset();
       return;
     }
     if (plan.ends_with("-at-node") && setUps_[named.title] == 1) {
-      connection.silent.insert(pipelined);
-      atNode_(key.substr(0, key.find(':')), plan.starts_with("wipe"));
+      connection.unansweredSessions.insert(pipelined);
+      killHandler_(key.substr(0, key.find(':')), plan.starts_with("wipe"));
     }
     if (plan == "err" || plan == "lose-err") reply.status = 500;
     reply.headers.emplace_back("Session", "s" + std::to_string(++nextSession_));
   } else if (!message.header("Session").empty()) {
     reply.headers.emplace_back("Session", std::string(message.header("Session")));
   }
-  if (!pipelined.empty() && connection.silent.contains(pipelined)) return;
+  if (!pipelined.empty() && connection.unansweredSessions.contains(pipelined)) return;
   const std::string bytes = reply.bytes();
   evbuffer_add(bufferevent_get_output(connection.bufferEvent.get()), bytes.data(), bytes.size());
 }
--- a/src/lab/counting.h
+++ b/src/lab/counting.h
@@ -17,8 +17,8 @@
  public:
   // `atNode`: told of each SETUP whose plan kills its director, with the director's name and
   // whether its ledger goes too.
-  using AtNode = std::function<void(const std::string& director, bool wipe)>;
-  CountingNodes(event_base* base, int count, AtNode atNode);
+  using KillHandler = std::function<void(const std::string& director, bool wipe)>;
+  CountingNodes(event_base* base, int count, KillHandler killHandler);
   ~CountingNodes();
   CountingNodes(const CountingNodes&) = delete;
   CountingNodes& operator=(const CountingNodes&) = delete;
@@ -34,7 +34,7 @@
   void receive(Connection& connection, const media::Message& message);
 
   event_base* base_;
-  AtNode atNode_;
+  KillHandler killHandler_;
   std::vector<net::Listener> listeners_;
   std::vector<std::unique_ptr<Connection>> connections_;
   std::map<std::string, int> setUps_;
--- a/src/lab/day.cpp
+++ b/src/lab/day.cpp
@@ -11,20 +11,23 @@
 namespace lupinsill::lab {
 namespace {
 
-constexpr std::array names{"answers-lost",  "hang",    "fast-errors", "slow",          "link-cut",
-                           "uplink-cut",    "drain",   "kill",        "wave",          "list-stale",
-                           "reports-late",  "crowd",   "burst",       "director-kill", "director-roll",
-                           "director-stop", "closers", "repeats",     "mute",          "garbage"};
+constexpr std::array faultKindNames{"answers-lost", "hang",          "fast-errors",   "slow",
+                                    "link-cut",     "uplink-cut",    "drain",         "kill",
+                                    "wave",         "list-stale",    "reports-late",  "crowd",
+                                    "burst",        "director-kill", "director-roll", "director-stop",
+                                    "closers",      "repeats",       "mute",          "garbage"};
 
-Micros span(const settings::Element& e, const char* name) { return settings::durationOf(e.text(name)); }
-double real(const settings::Element& e, const char* name) {
+Micros parseDuration(const settings::Element& e, const char* name) {
+  return settings::durationOf(e.text(name));
+}
+double parseNumber(const settings::Element& e, const char* name) {
   return std::strtod(e.text(name).c_str(), nullptr);
 }
-int whole(const settings::Element& e, const char* name) { return std::atoi(e.text(name).c_str()); }
+int parseInteger(const settings::Element& e, const char* name) { return std::atoi(e.text(name).c_str()); }
 
 }  // namespace
 
-const char* nameOf(Kind kind) { return names[static_cast<std::size_t>(kind)]; }
+const char* nameOf(FaultKind kind) { return faultKindNames[static_cast<std::size_t>(kind)]; }
 
 Day readDay(const std::string& file) {
   const settings::Element root = settings::readXml(file, settings::daySchema);
@@ -33,40 +36,40 @@
   day.settingsFile =
       (std::filesystem::path(file).parent_path() / root.text("settings")).lexically_normal().string();
   day.deployment = settings::readDeployment(day.settingsFile);
-  day.length = span(root, "length");
-  day.answerSlack = span(root, "answer-slack");
+  day.length = parseDuration(root, "length");
+  day.answerSlack = parseDuration(root, "answer-slack");
   const settings::Element& fleet = *root.child("fleet");
-  day.directors = whole(fleet, "directors");
-  day.nodes = whole(fleet, "nodes");
-  day.zones = whole(fleet, "zones");
-  day.linkKb = real(fleet, "link-kb");
-  day.spread = real(fleet, "spread");
-  day.setUpLeast = span(fleet, "set-up-least");
-  day.setUpMost = span(fleet, "set-up-most");
-  day.listLate = span(fleet, "list-late");
+  day.directors = parseInteger(fleet, "directors");
+  day.nodes = parseInteger(fleet, "nodes");
+  day.zones = parseInteger(fleet, "zones");
+  day.linkKb = parseNumber(fleet, "link-kb");
+  day.spread = parseNumber(fleet, "spread");
+  day.minSetUpTime = parseDuration(fleet, "set-up-least");
+  day.maxSetUpTime = parseDuration(fleet, "set-up-most");
+  day.listDelay = parseDuration(fleet, "list-late");
   if (day.nodes != day.deployment.terms.cells)
     settings::refuse(
         file, fleet,
         "nodes: expected the cells of the settings, " + std::to_string(day.deployment.terms.cells));
   const settings::Element& players = *root.child("players");
-  day.asks = whole(players, "asks");
-  day.titles = whole(players, "titles");
-  day.holders = whole(players, "holders");
-  day.comeAgain = real(players, "come-again");
-  day.pauseLeast = span(players, "pause-least");
-  day.pauseMost = span(players, "pause-most");
+  day.requests = parseInteger(players, "asks");
+  day.titles = parseInteger(players, "titles");
+  day.holders = parseInteger(players, "holders");
+  day.retryShare = parseNumber(players, "come-again");
+  day.minRetryPause = parseDuration(players, "pause-least");
+  day.maxRetryPause = parseDuration(players, "pause-most");
   for (const settings::Element& room : players.children) {
     const auto& known = day.deployment.roomTypes;
     const auto it = std::find(known.begin(), known.end(), room.text("name"));
     if (it == known.end()) settings::refuse(file, room, "name: expected a room type of the settings");
-    day.rooms.push_back(
-        {static_cast<int>(it - known.begin()), real(room, "share"), span(room, "least"), span(room, "most")});
+    day.rooms.push_back({static_cast<int>(it - known.begin()), parseNumber(room, "share"),
+                         parseDuration(room, "least"), parseDuration(room, "most")});
   }
   for (const settings::Element& e : root.children) {
     if (e.name != "trouble") continue;
-    const auto it = std::find(names.begin(), names.end(), e.text("kind"));
-    day.troubles.push_back({static_cast<Kind>(it - names.begin()), span(e, "at"), span(e, "for"),
-                            real(e, "share"), real(e, "much")});
+    const auto it = std::find(faultKindNames.begin(), faultKindNames.end(), e.text("kind"));
+    day.faults.push_back({static_cast<FaultKind>(it - faultKindNames.begin()), parseDuration(e, "at"),
+                          parseDuration(e, "for"), parseNumber(e, "share"), parseNumber(e, "much")});
   }
   return day;
 }
@@ -74,8 +77,8 @@
 std::vector<Arrival> drawArrivals(const Day& day, std::uint64_t seed) {
   Chance chance(seed, 1);
   std::vector<double> titleWeight;
-  double all = 0;
-  for (int t = 0; t < day.titles; ++t) titleWeight.push_back(all += 1.0 / std::pow(t + 1, 0.9));
+  double totalWeight = 0;
+  for (int t = 0; t < day.titles; ++t) titleWeight.push_back(totalWeight += 1.0 / std::pow(t + 1, 0.9));
   std::vector<Arrival> arrivals;
   const auto draw = [&](Micros at) {
     Arrival a;
@@ -90,26 +93,26 @@
       pick -= r.share;
     }
     a.roomType = room->roomType;
-    a.length = chance.span(room->least, room->most);
-    const double place = chance.unit() * all;
-    a.title = static_cast<int>(std::lower_bound(titleWeight.begin(), titleWeight.end(), place) -
+    a.length = chance.span(room->minLength, room->maxLength);
+    const double position = chance.unit() * totalWeight;
+    a.title = static_cast<int>(std::lower_bound(titleWeight.begin(), titleWeight.end(), position) -
                                titleWeight.begin());
     const int top = day.deployment.terms.roomTypes[static_cast<std::size_t>(a.roomType)].top;
     a.top = chance.comes(0.25) ? std::max(0, top - 2) : top;
     a.zone = static_cast<int>(chance.below(static_cast<std::size_t>(day.zones)));
     return a;
   };
-  for (int i = 0; i < day.asks; ++i)
+  for (int i = 0; i < day.requests; ++i)
     arrivals.push_back(draw(static_cast<Micros>(chance.unit() * static_cast<double>(day.length))));
-  for (const Trouble& t : day.troubles) {
-    if (t.kind != Kind::burst && t.kind != Kind::crowd) continue;
-    const double usual =
-        static_cast<double>(day.asks) * static_cast<double>(t.span) / static_cast<double>(day.length);
-    const auto more = static_cast<int>(usual * t.much);
-    const int wanted = static_cast<int>(chance.below(static_cast<std::size_t>(day.titles)));
-    for (int i = 0; i < more; ++i) {
-      arrivals.push_back(draw(t.at + static_cast<Micros>(chance.unit() * static_cast<double>(t.span))));
-      if (t.kind == Kind::crowd) arrivals.back().title = wanted;
+  for (const ScheduledFault& t : day.faults) {
+    if (t.kind != FaultKind::burst && t.kind != FaultKind::crowd) continue;
+    const double usualCount =
+        static_cast<double>(day.requests) * static_cast<double>(t.duration) / static_cast<double>(day.length);
+    const auto extra = static_cast<int>(usualCount * t.magnitude);
+    const int popularTitle = static_cast<int>(chance.below(static_cast<std::size_t>(day.titles)));
+    for (int i = 0; i < extra; ++i) {
+      arrivals.push_back(draw(t.at + static_cast<Micros>(chance.unit() * static_cast<double>(t.duration))));
+      if (t.kind == FaultKind::crowd) arrivals.back().title = popularTitle;
     }
   }
   std::stable_sort(arrivals.begin(), arrivals.end(),
@@ -117,16 +120,19 @@
   int viewer = 0;
   for (Arrival& a : arrivals) {
     a.viewer = ++viewer;
-    for (const Trouble& t : day.troubles) {
-      if (a.at < t.at || a.at >= t.at + t.span) continue;
-      const bool unsafe =
+    for (const ScheduledFault& t : day.faults) {
+      if (a.at < t.at || a.at >= t.at + t.duration) continue;
+      const bool nonRepeatable =
           day.deployment.terms.roomTypes[static_cast<std::size_t>(a.roomType)].effect != Effect::repeatable;
-      const Manner manner = t.kind == Kind::closers && unsafe ? Manner::closer
-                            : t.kind == Kind::repeats         ? Manner::repeater
-                            : t.kind == Kind::mute            ? Manner::mute
-                            : t.kind == Kind::garbage         ? Manner::garbage
-                                                              : Manner::plain;
-      if (manner != Manner::plain && a.manner == Manner::plain && chance.comes(t.share)) a.manner = manner;
+      const ClientBehaviour behaviour = t.kind == FaultKind::closers && nonRepeatable
+                                            ? ClientBehaviour::disconnects
+                                        : t.kind == FaultKind::repeats ? ClientBehaviour::duplicatesRequest
+                                        : t.kind == FaultKind::mute    ? ClientBehaviour::neverReads
+                                        : t.kind == FaultKind::garbage ? ClientBehaviour::sendsGarbage
+                                                                       : ClientBehaviour::normal;
+      if (behaviour != ClientBehaviour::normal && a.behaviour == ClientBehaviour::normal &&
+          chance.comes(t.share))
+        a.behaviour = behaviour;
     }
   }
   return arrivals;
--- a/src/lab/day.h
+++ b/src/lab/day.h
@@ -15,7 +15,7 @@
 
 using model::Chance;
 
-enum class Kind {
+enum class FaultKind {
   answersLost,
   hang,
   fastErrors,
@@ -38,18 +38,18 @@
   garbage
 };
 
-struct Trouble {
-  Kind kind = Kind::hang;
+struct ScheduledFault {
+  FaultKind kind = FaultKind::hang;
   Micros at = 0;
-  Micros span = 0;
+  Micros duration = 0;
   double share = 0;
-  double much = 0;
+  double magnitude = 0;
 };
 
 struct RoomShare {
   int roomType = 0;
   double share = 0;
-  Micros least = 0, most = 0;
+  Micros minLength = 0, maxLength = 0;
 };
 
 struct Day {
@@ -60,18 +60,18 @@
   Micros answerSlack = 0;
   int directors = 0, nodes = 0, zones = 0;
   double linkKb = 0, spread = 0;
-  Micros setUpLeast = 0, setUpMost = 0, listLate = 0;
-  int asks = 0, titles = 0, holders = 0;
-  double comeAgain = 0;
-  Micros pauseLeast = 0, pauseMost = 0;
+  Micros minSetUpTime = 0, maxSetUpTime = 0, listDelay = 0;
+  int requests = 0, titles = 0, holders = 0;
+  double retryShare = 0;
+  Micros minRetryPause = 0, maxRetryPause = 0;
   std::vector<RoomShare> rooms;
-  std::vector<Trouble> troubles;
+  std::vector<ScheduledFault> faults;
 };
 
 Day readDay(const std::string& file);
-const char* nameOf(Kind kind);  // as the schema words it
+const char* nameOf(FaultKind kind);  // as the schema words it
 
-enum class Manner { plain, closer, repeater, mute, garbage };
+enum class ClientBehaviour { normal, disconnects, duplicatesRequest, neverReads, sendsGarbage };
 
 struct Arrival {
   Micros at = 0;
@@ -81,7 +81,7 @@
   int top = 0;
   int zone = 0;
   Micros length = 0;
-  Manner manner = Manner::plain;
+  ClientBehaviour behaviour = ClientBehaviour::normal;
 };
 std::vector<Arrival> drawArrivals(const Day& day, std::uint64_t seed);
 
--- a/src/lab/plant.cpp
+++ b/src/lab/plant.cpp
@@ -17,28 +17,28 @@
 using session::Command;
 
 // The module between bent events and bent actions.
-class Bent final : public session::Decider {
+class FaultyDecider final : public session::Decider {
  public:
-  Bent(std::string name, const ControlSettings& terms, std::uint64_t seed)
+  FaultyDecider(std::string name, const ControlSettings& terms, std::uint64_t seed)
       : name_(std::move(name)), terms_(terms) {
-    ControlSettings bent = terms;
+    ControlSettings faultyTerms = terms;
     if (name_ == "seat-over")
-      for (RoomType& room : bent.roomTypes) room.seats = 0;
-    if (name_ == "budget-over") bent.retryBudget.reset();
-    inner_ = std::make_unique<session::ControlDecider>(std::move(bent), seed);
+      for (RoomType& room : faultyTerms.roomTypes) room.seats = 0;
+    if (name_ == "budget-over") faultyTerms.retryBudget.reset();
+    decider_ = std::make_unique<session::ControlDecider>(std::move(faultyTerms), seed);
   }
 
   void handle(Micros now, const std::vector<Event>& turn, std::vector<Action>& actions) override {
     std::vector<Event> events = turn;
     for (Event& event : events) {
-      if (auto* told = std::get_if<ListUpdate>(&event)) list(*told);
-      if (const auto* asked = std::get_if<SubscriptionRequested>(&event))
-        rooms_[asked->viewing.sub] = asked->viewing.roomType;
+      if (auto* update = std::get_if<ListUpdate>(&event)) applyDrainFault(*update);
+      if (const auto* requested = std::get_if<SubscriptionRequested>(&event))
+        rooms_[requested->viewing.sub] = requested->viewing.roomType;
       // The module hears of a join where it sent it, wherever the plant did.
       if (auto* ended = std::get_if<JoinEnded>(&event))
         if (const auto it = sentTo_.find(ended->sub); it != sentTo_.end()) ended->node = it->second;
-      if (auto* noted = std::get_if<MeasurementReported>(&event))
-        if (const auto it = sentTo_.find(noted->sub); it != sentTo_.end()) noted->node = it->second;
+      if (auto* measured = std::get_if<MeasurementReported>(&event))
+        if (const auto it = sentTo_.find(measured->sub); it != sentTo_.end()) measured->node = it->second;
       // A paid join that may have run is told as refused.
       if (auto* ended = std::get_if<JoinEnded>(&event); ended != nullptr && name_ == "join-again")
         if (ended->outcome == Outcome::error || ended->outcome == Outcome::timeout ||
@@ -46,23 +46,23 @@
           ended->outcome = Outcome::full;
     }
     const std::size_t from = actions.size();
-    inner_->handle(now, events, actions);
-    for (std::size_t i = from; i < actions.size(); ++i) bend(now, actions[i]);
+    decider_->handle(now, events, actions);
+    for (std::size_t i = from; i < actions.size(); ++i) applyFault(now, actions[i]);
   }
 
  private:
-  void list(ListUpdate& told) {
-    for (ListEntry& entry : told.entries) {
+  void applyDrainFault(ListUpdate& update) {
+    for (ListEntry& entry : update.entries) {
       if (name_ == "drain-ignored" && entry.state == NodeState::draining) {
-        drained_[entry.node] = true;
+        ignoredDrains_[entry.node] = true;
         entry.state = NodeState::ready;
       } else if (entry.state == NodeState::gone) {
-        drained_.erase(entry.node);
+        ignoredDrains_.erase(entry.node);
       }
       nodes_[entry.node] = entry;
     }
   }
-  void bend(Micros now, Action& action) {
+  void applyFault(Micros now, Action& action) {
     if (auto* join = std::get_if<Join>(&action)) {
       sentTo_[join->sub] = join->node;
       if (name_ == "cold-burst")
@@ -71,7 +71,7 @@
             join->node = id;
       if (name_ == "drain-ignored")
         for (const auto& [id, entry] : nodes_)
-          if (drained_.contains(id)) join->node = id;
+          if (ignoredDrains_.contains(id)) join->node = id;
       const RoomType& room = terms_.roomTypes[static_cast<std::size_t>(rooms_[join->sub])];
       if (name_ == "budget-over" && room.effect == Effect::repeatable) join->timeout = 3'000;
       if (name_ == "join-again" && room.effect == Effect::once) join->timeout = 5'000;
@@ -84,87 +84,91 @@
 
   std::string name_;
   ControlSettings terms_;
-  std::unique_ptr<session::ControlDecider> inner_;
+  std::unique_ptr<session::ControlDecider> decider_;
   std::map<NodeId, ListEntry> nodes_;
-  std::map<NodeId, bool> drained_;
+  std::map<NodeId, bool> ignoredDrains_;
   std::map<SubscriptionId, int> rooms_;
   std::map<SubscriptionId, NodeId> sentTo_;
 };
 
 // Faults that a title names (src/client_script): a director that dies at a step, or cuts a call there. It
 // does each once; one that died knows by a mark in its folder that it did.
-struct ByTitle {
-  std::map<std::string, int> cuts;
+struct TitleFaults {
+  std::map<std::string, int> cutCount;
   std::minstd_rand chance{11};
 
   director::Fate operator()(director::Step step, const std::string& title) {
-    const std::string plan = title.substr(0, title.find('.'));
-    static const std::map<std::string, director::Step> deaths{
+    const std::string faultName = title.substr(0, title.find('.'));
+    static const std::map<std::string, director::Step> killSteps{
         {"kill-ask-read", director::Step::askRead},
         {"kill-ask-decided", director::Step::askDecided},
         {"kill-join-leaves", director::Step::joinLeaves},
         {"kill-join-began", director::Step::joinBegan},
         {"kill-answer-decided", director::Step::answerDecided},
     };
-    if (const auto it = deaths.find(plan); it != deaths.end() && it->second == step) {
-      const std::string mark = "died-of-" + title;
-      if (std::filesystem::exists(mark)) return director::Fate::go;
-      std::ofstream(mark) << "once\n";
+    if (const auto it = killSteps.find(faultName); it != killSteps.end() && it->second == step) {
+      const std::string markerFile = "died-of-" + title;
+      if (std::filesystem::exists(markerFile)) return director::Fate::go;
+      std::ofstream(markerFile) << "once\n";
       raise(SIGKILL);
     }
-    if (step == director::Step::askRead && (plan == "all" || (plan == "half" && chance() / 7 % 2 == 0)))
+    if (step == director::Step::askRead &&
+        (faultName == "all" || (faultName == "half" && chance() / 7 % 2 == 0)))
       return director::Fate::cut;
-    if (step == director::Step::askRead && plan == "refuse") return director::Fate::refuse;
-    const int most = plan == "lose" || plan == "lose-err" || plan == "unheard" ? 1 : plan == "twice" ? 2 : 0;
-    const auto where = plan == "unheard" ? director::Step::askRead : director::Step::answerDecided;
-    if (most == 0 || step != where || cuts[title] >= most) return director::Fate::go;
-    ++cuts[title];
+    if (step == director::Step::askRead && faultName == "refuse") return director::Fate::refuse;
+    const int maxCuts = faultName == "lose" || faultName == "lose-err" || faultName == "unheard" ? 1
+                        : faultName == "twice"                                                   ? 2
+                                                                                                 : 0;
+    const auto cutStep = faultName == "unheard" ? director::Step::askRead : director::Step::answerDecided;
+    if (maxCuts == 0 || step != cutStep || cutCount[title] >= maxCuts) return director::Fate::go;
+    ++cutCount[title];
     return director::Fate::cut;
   }
 };
 
-bool isAnswer(const Command& order) {
-  return std::holds_alternative<session::Playing>(order) ||
-         std::holds_alternative<session::Throttled>(order) ||
-         std::holds_alternative<session::Terminated>(order);
+bool isAnswer(const Command& command) {
+  return std::holds_alternative<session::Playing>(command) ||
+         std::holds_alternative<session::Throttled>(command) ||
+         std::holds_alternative<session::Terminated>(command);
 }
 
 // Orders between the session core and the sockets, tampered with every tenth time.
-struct Tamperer {
-  explicit Tamperer(std::string which) : name(std::move(which)) {}
+struct CommandFault {
+  explicit CommandFault(std::string faultName) : name(std::move(faultName)) {}
   std::string name;
-  int count = 0;
-  session::JoinId next = 1'000'000'000;
-  std::vector<NodeId> seen;
-  std::deque<std::pair<Micros, Command>> held;
+  int matchingCommands = 0;
+  session::JoinId nextJoin = 1'000'000'000;
+  std::vector<NodeId> knownNodes;
+  std::deque<std::pair<Micros, Command>> delayed;
 
-  void operator()(Micros now, std::vector<Command>& orders) {
+  void operator()(Micros now, std::vector<Command>& commands) {
     std::vector<Command> out;
-    while (!held.empty() && held.front().first <= now) {
-      out.push_back(std::move(held.front().second));
-      held.pop_front();
+    while (!delayed.empty() && delayed.front().first <= now) {
+      out.push_back(std::move(delayed.front().second));
+      delayed.pop_front();
     }
-    for (Command& order : orders) {
-      if (const auto* setUp = std::get_if<session::SetUp>(&order)) {
-        if (std::find(seen.begin(), seen.end(), setUp->node) == seen.end()) seen.push_back(setUp->node);
-        if (name == "second-join" && ++count % 10 == 0 && seen.size() > 1) {
+    for (Command& command : commands) {
+      if (const auto* setUp = std::get_if<session::SetUp>(&command)) {
+        if (std::find(knownNodes.begin(), knownNodes.end(), setUp->node) == knownNodes.end())
+          knownNodes.push_back(setUp->node);
+        if (name == "second-join" && ++matchingCommands % 10 == 0 && knownNodes.size() > 1) {
           session::SetUp second = *setUp;
-          second.join = ++next;
-          second.node = seen[0] == setUp->node ? seen[1] : seen[0];
+          second.join = ++nextJoin;
+          second.node = knownNodes[0] == setUp->node ? knownNodes[1] : knownNodes[0];
           out.emplace_back(second);
         }
       }
-      if (isAnswer(order) && name.starts_with("answer-") && ++count % 10 == 0) {
+      if (isAnswer(command) && name.starts_with("answer-") && ++matchingCommands % 10 == 0) {
         if (name == "answer-lost") continue;
         if (name == "answer-late") {
-          held.emplace_back(now + 5'500'000, std::move(order));
+          delayed.emplace_back(now + 5'500'000, std::move(command));
           continue;
         }
-        out.push_back(order);
+        out.push_back(command);
       }
-      out.push_back(std::move(order));
+      out.push_back(std::move(command));
     }
-    orders = std::move(out);
+    commands = std::move(out);
   }
 };
 
@@ -189,23 +193,23 @@
 }
 
 const PlantedFault* findPlantedFault(const std::string& name) {
-  for (const PlantedFault& plant : plantedFaults())
-    if (plant.name == name) return &plant;
+  for (const PlantedFault& fault : plantedFaults())
+    if (fault.name == name) return &fault;
   return nullptr;
 }
 
 director::Hooks hooksForFault(const std::string& name) {
   if (name == "titles" || name == "titles-unrecorded") {
-    director::Hooks titled;
-    titled.at = ByTitle();
-    titled.recorded = name == "titles";
-    return titled;
+    director::Hooks hooks;
+    hooks.at = TitleFaults();
+    hooks.recorded = name == "titles";
+    return hooks;
   }
   if (findPlantedFault(name) == nullptr)
     throw std::runtime_error("plant '" + name + "': see `lupinsill lab plants`");
   director::Hooks hooks;
   if (name == "second-join" || name.starts_with("answer-")) {
-    hooks.tamper = Tamperer(name);
+    hooks.tamper = CommandFault(name);
     return hooks;
   }
   if (name == "ledger-unused") {
@@ -214,7 +218,7 @@
   }
   hooks.guardsEnabled = false;
   hooks.decider = [name](const ControlSettings& terms, std::uint64_t seed) {
-    return std::make_unique<Bent>(name, terms, seed);
+    return std::make_unique<FaultyDecider>(name, terms, seed);
   };
   return hooks;
 }
--- a/src/lab/plant.h
+++ b/src/lab/plant.h
@@ -13,12 +13,12 @@
 struct PlantedFault {
   const char* name;
   int rule;  // that must catch it
-  const char* what;
+  const char* description;
 };
 const std::vector<PlantedFault>& plantedFaults();
 const PlantedFault* findPlantedFault(const std::string& name);
 // Besides plants: "titles", the faults that scripted titles name (src/client_script); "titles-unrecorded",
 // the same without a ledger. Throws std::runtime_error for a name not known.
-director::Hooks hooksForFault(const std::string& plant);
+director::Hooks hooksForFault(const std::string& name);
 
 }  // namespace lupinsill::lab
--- a/src/lab/players.cpp
+++ b/src/lab/players.cpp
@@ -5,262 +5,268 @@
 
 namespace lupinsill::lab {
 namespace {
-constexpr Micros tryAnother = 300'000;  // after a director that cannot be reached
-constexpr Micros closeLeast = 3'000, closeMost = 25'000;
-constexpr Micros backLeast = 50'000, backMost = 600'000;
-constexpr Micros hangAround =
+constexpr Micros reconnectDelay = 300'000;  // after a director that cannot be reached
+constexpr Micros minDisconnectDelay = 3'000, maxDisconnectDelay = 25'000;
+constexpr Micros minReturnDelay = 50'000, maxReturnDelay = 600'000;
+constexpr Micros lateAnswerWait =
     400'000;  // over the client timeout and its slack, to see answers that come late
 }  // namespace
 
-struct Crowd::Player final : websocket::Channel::Handler {
-  enum class State { waiting, opening, asking, playing, done };
-  Crowd* crowd = nullptr;
+struct PlayerPool::Player final : websocket::Channel::Handler {
+  enum class State { waiting, connecting, awaitingAnswer, playing, done };
+  PlayerPool* pool = nullptr;
   Arrival arrival;
   State state = State::waiting;
   Micros wakeAt = 0;
   Micros endsAt = 0;  // of its wish to watch
-  Micros askedAt = 0;
-  int tries = 0;
-  int place = -1, run = 0;
-  bool first = true;        // the very first ask has not been sent
-  bool comingBack = false;  // a closer, with the same key
-  bool closeNext = false;
+  Micros requestedAt = 0;
+  int attempts = 0;
+  int directorIndex = -1, run = 0;
+  bool firstRequest = true;     // the very first ask has not been sent
+  bool repeatsRequest = false;  // a closer, with the same key
+  bool disconnectNext = false;
   std::string idempotencyKey;
-  std::size_t seen = 0;  // its ask in the record
-  std::size_t secondSeen = 0;
+  std::size_t requestRecord = 0;  // its ask in the record
+  std::size_t repeatRecord = 0;
   std::unique_ptr<websocket::Channel> channel;
 
   std::string viewer() const { return "v" + std::to_string(arrival.viewer); }
-  audit::AskSeen& record() { return crowd->stage_.record->asks[seen]; }
-  void onOpen(websocket::Channel&) override { crowd->ask(*this, comingBack); }
+  audit::AskSeen& record() { return pool->context_.record->asks[requestRecord]; }
+  void onOpen(websocket::Channel&) override { pool->sendRequest(*this, repeatsRequest); }
   void onText(websocket::Channel&, std::string_view text) override {
-    crowd->heard(*this, websocket::readAnswer(text));
+    pool->onAnswer(*this, websocket::readAnswer(text));
   }
-  void onClosed(websocket::Channel&, int) override { crowd->lost(*this); }
+  void onClosed(websocket::Channel&, int) override { pool->onConnectionLost(*this); }
   void drop() {
     if (!channel) return;
     channel->abort();
-    crowd->closed_.push_back(std::move(channel));
+    pool->closed_.push_back(std::move(channel));
   }
 };
 
-Crowd::Crowd(Stage& stage, const Processes& processes, std::vector<Arrival> arrivals, std::uint64_t seed)
-    : stage_(stage), processes_(processes), chance_(seed, 3), arrivals_(std::move(arrivals)) {
-  const ControlSettings& t = stage.day->deployment.terms;
+PlayerPool::PlayerPool(LabContext& context, const Processes& processes, std::vector<Arrival> arrivals,
+                       std::uint64_t seed)
+    : context_(context), processes_(processes), chance_(seed, 3), arrivals_(std::move(arrivals)) {
+  const ControlSettings& t = context.day->deployment.terms;
   for (const Arrival& a : arrivals_)
-    if (a.manner != Manner::mute && a.manner != Manner::garbage)
-      tallies_.offered += static_cast<double>(std::min(a.length, stage.day->length - a.at)) / 1e6 *
-                          t.roomTypes[static_cast<std::size_t>(a.roomType)].benefit *
-                          t.rungBenefit[static_cast<std::size_t>(a.top)];
+    if (a.behaviour != ClientBehaviour::neverReads && a.behaviour != ClientBehaviour::sendsGarbage)
+      statistics_.offered += static_cast<double>(std::min(a.length, context.day->length - a.at)) / 1e6 *
+                             t.roomTypes[static_cast<std::size_t>(a.roomType)].benefit *
+                             t.rungBenefit[static_cast<std::size_t>(a.top)];
 }
-Crowd::~Crowd() = default;
+PlayerPool::~PlayerPool() = default;
 
-Micros Crowd::lengthLeft(const std::string& viewer) const {
+Micros PlayerPool::remainingLength(const std::string& viewer) const {
   const auto it = players_.find(std::atoi(viewer.c_str() + 1));
-  return it == players_.end() ? 1'000'000 : std::max<Micros>(200'000, it->second->endsAt - stage_.now());
+  return it == players_.end() ? 1'000'000 : std::max<Micros>(200'000, it->second->endsAt - context_.now());
 }
 
-bool Crowd::inTime(const std::string& viewer, int roomType) const {
+bool PlayerPool::metJoinObjective(const std::string& viewer, int roomType) const {
   const auto it = players_.find(std::atoi(viewer.c_str() + 1));
   if (it == players_.end()) return false;
   const Micros objective =
-      stage_.day->deployment.terms.roomTypes[static_cast<std::size_t>(roomType)].joinObjective;
-  return stage_.now() - it->second->askedAt <= objective;
+      context_.day->deployment.terms.roomTypes[static_cast<std::size_t>(roomType)].joinObjective;
+  return context_.now() - it->second->requestedAt <= objective;
 }
 
-void Crowd::begin(Player& player) {
-  std::vector<int> near, all;
-  for (std::size_t i = 0; i < processes_.places().size(); ++i) {
-    const Place& p = processes_.places()[i];
-    if (p.players == 0) continue;
+void PlayerPool::connect(Player& player) {
+  std::vector<int> sameZone, all;
+  for (std::size_t i = 0; i < processes_.directors().size(); ++i) {
+    const DirectorProcess& p = processes_.directors()[i];
+    if (p.playersPort == 0) continue;
     all.push_back(static_cast<int>(i));
-    if (p.zone == player.arrival.zone) near.push_back(static_cast<int>(i));
+    if (p.zone == player.arrival.zone) sameZone.push_back(static_cast<int>(i));
   }
-  const std::vector<int>& from = near.empty() ? all : near;
-  if (!player.comingBack) {
-    if (from.empty()) {
-      player.wakeAt = stage_.now() + tryAnother;
+  const std::vector<int>& candidates = sameZone.empty() ? all : sameZone;
+  if (!player.repeatsRequest) {
+    if (candidates.empty()) {
+      player.wakeAt = context_.now() + reconnectDelay;
       return;
     }
-    player.place = from[chance_.below(from.size())];
-    player.run = processes_.places()[static_cast<std::size_t>(player.place)].run;
+    player.directorIndex = candidates[chance_.below(candidates.size())];
+    player.run = processes_.directors()[static_cast<std::size_t>(player.directorIndex)].run;
   }
-  const Place& place = processes_.places()[static_cast<std::size_t>(player.place)];
+  const DirectorProcess& director = processes_.directors()[static_cast<std::size_t>(player.directorIndex)];
   // A paid key is known to one director only, over its restarts.
-  if (player.comingBack) {
-    if (place.players == 0) {
-      player.wakeAt = stage_.now() + tryAnother;
+  if (player.repeatsRequest) {
+    if (director.playersPort == 0) {
+      player.wakeAt = context_.now() + reconnectDelay;
       return;
     }
-    player.run = place.run;
+    player.run = director.run;
   }
-  player.state = Player::State::opening;
-  player.wakeAt = stage_.now() + 2'000'000;
-  net::BufferEvent bufferEvent = net::connectTo(stage_.base, "127.0.0.1", place.players);
+  player.state = Player::State::connecting;
+  player.wakeAt = context_.now() + 2'000'000;
+  net::BufferEvent bufferEvent = net::connectTo(context_.base, "127.0.0.1", director.playersPort);
   if (!bufferEvent) {
     player.state = Player::State::waiting;
-    player.wakeAt = stage_.now() + tryAnother;
+    player.wakeAt = context_.now() + reconnectDelay;
     return;
   }
   player.channel =
       std::make_unique<websocket::Channel>(std::move(bufferEvent), player, websocket::ChannelLimits{}, false,
-                                           "127.0.0.1:" + std::to_string(place.players));
+                                           "127.0.0.1:" + std::to_string(director.playersPort));
 }
 
-void Crowd::ask(Player& player, bool again) {
-  const Micros now = stage_.now();
-  const auto& deployment = stage_.day->deployment;
+void PlayerPool::sendRequest(Player& player, bool again) {
+  const Micros now = context_.now();
+  const auto& deployment = context_.day->deployment;
   const auto room = static_cast<std::size_t>(player.arrival.roomType);
-  if (player.arrival.manner == Manner::garbage) {
-    ++tallies_.garbageSent;
-    const char* junk[] = {"\x81\x05hello", "\xff\xff\xff\xff\xff\xff", "GET / HTTP/1.1\r\n\r\n"};
+  if (player.arrival.behaviour == ClientBehaviour::sendsGarbage) {
+    ++statistics_.garbageSent;
+    const char* invalidBytes[] = {"\x81\x05hello", "\xff\xff\xff\xff\xff\xff", "GET / HTTP/1.1\r\n\r\n"};
     if (player.arrival.viewer % 2 == 0)
       player.channel->sendText("{\"type\":\"ask\",\"id\":7");
     else
-      player.channel->sendRaw(junk[player.arrival.viewer % 3]);
-    player.state = Player::State::asking;
+      player.channel->sendRaw(invalidBytes[player.arrival.viewer % 3]);
+    player.state = Player::State::awaitingAnswer;
     player.wakeAt = now + 3'000'000;
     return;
   }
   if (!again)
-    player.idempotencyKey =
-        "d" + std::to_string(player.place) + ":" + player.viewer() + "." + std::to_string(++player.tries);
+    player.idempotencyKey = "d" + std::to_string(player.directorIndex) + ":" + player.viewer() + "." +
+                            std::to_string(++player.attempts);
   websocket::PlayMessage message;
-  message.id = again ? "again" : "a" + std::to_string(player.tries);
+  message.id = again ? "again" : "a" + std::to_string(player.attempts);
   message.key = player.idempotencyKey;
   message.viewer = player.viewer();
   message.title = "t" + std::to_string(player.arrival.title);
   message.room = deployment.roomTypes[room];
   message.top = player.arrival.top;
   message.length = std::max<Micros>(1'000, player.endsAt - now);
-  if (again) message.previousDirector = "d" + std::to_string(player.place);
+  if (again) message.previousDirector = "d" + std::to_string(player.directorIndex);
   audit::AskSeen seen;
   seen.at = now;
-  seen.director = player.place;
+  seen.director = player.directorIndex;
   seen.run = player.run;
   seen.viewer = message.viewer;
   seen.idempotencyKey = message.key;
   seen.title = message.title;
   seen.roomType = player.arrival.roomType;
   seen.timeout = deployment.clientTimeouts[room];
-  seen.mute = player.arrival.manner == Manner::mute;
-  if (!again || player.comingBack) player.seen = stage_.record->asks.size();
-  player.secondSeen = stage_.record->asks.size();
-  stage_.record->asks.push_back(seen);
-  if (player.first || !again) player.askedAt = now;
-  player.first = false;
-  ++tallies_.asks;
+  seen.mute = player.arrival.behaviour == ClientBehaviour::neverReads;
+  if (!again || player.repeatsRequest) player.requestRecord = context_.record->asks.size();
+  player.repeatRecord = context_.record->asks.size();
+  context_.record->asks.push_back(seen);
+  if (player.firstRequest || !again) player.requestedAt = now;
+  player.firstRequest = false;
+  ++statistics_.requests;
   player.channel->sendText(websocket::textOf(message));
-  player.state = Player::State::asking;
-  player.wakeAt = now + seen.timeout + stage_.day->answerSlack + hangAround;
-  const bool unsafe = deployment.terms.roomTypes[room].effect != Effect::repeatable;
-  if (player.arrival.manner == Manner::mute) player.channel->stopReading();
-  if (player.arrival.manner == Manner::closer && !again && player.tries == 1) {
-    player.closeNext = true;
-    player.wakeAt = now + chance_.span(closeLeast, closeMost);
+  player.state = Player::State::awaitingAnswer;
+  player.wakeAt = now + seen.timeout + context_.day->answerSlack + lateAnswerWait;
+  const bool nonRepeatable = deployment.terms.roomTypes[room].effect != Effect::repeatable;
+  if (player.arrival.behaviour == ClientBehaviour::neverReads) player.channel->stopReading();
+  if (player.arrival.behaviour == ClientBehaviour::disconnects && !again && player.attempts == 1) {
+    player.disconnectNext = true;
+    player.wakeAt = now + chance_.span(minDisconnectDelay, maxDisconnectDelay);
   }
-  if (player.arrival.manner == Manner::repeater && unsafe && !again) ask(player, true);
-  player.comingBack = false;
+  if (player.arrival.behaviour == ClientBehaviour::duplicatesRequest && nonRepeatable && !again)
+    sendRequest(player, true);
+  player.repeatsRequest = false;
 }
 
-void Crowd::heard(Player& player, const websocket::AnswerMessage& answer) {
+void PlayerPool::onAnswer(Player& player, const websocket::AnswerMessage& answer) {
   using websocket::AnswerKind;
-  const Micros now = stage_.now();
-  const bool second = answer.id == "again" && player.secondSeen != player.seen;
-  audit::AskSeen& seen = stage_.record->asks[second ? player.secondSeen : player.seen];
+  const Micros now = context_.now();
+  const bool isRepeat = answer.id == "again" && player.repeatRecord != player.requestRecord;
+  audit::AskSeen& seen = context_.record->asks[isRepeat ? player.repeatRecord : player.requestRecord];
   const auto record = [&](audit::AskSeen::Answer::Kind kind) { seen.answers.push_back({now, kind}); };
   const Micros objective =
-      stage_.day->deployment.terms.roomTypes[static_cast<std::size_t>(player.arrival.roomType)].joinObjective;
+      context_.day->deployment.terms.roomTypes[static_cast<std::size_t>(player.arrival.roomType)]
+          .joinObjective;
   switch (answer.kind) {
     case AnswerKind::hello:
       return;
     case AnswerKind::playing:
       record(audit::AskSeen::Answer::Kind::playing);
-      ++tallies_.playing;
-      if (now - player.askedAt <= objective) ++tallies_.inTime;
+      ++statistics_.playing;
+      if (now - player.requestedAt <= objective) ++statistics_.metJoinObjective;
       player.state = Player::State::playing;
       player.wakeAt = player.endsAt + 2'000'000;
       return;
     case AnswerKind::throttled:
       record(audit::AskSeen::Answer::Kind::throttled);
-      ++tallies_.throttled;
-      if (second) return;
-      return over(player, answer.retryAfter, true);
+      ++statistics_.throttled;
+      if (isRepeat) return;
+      return finishOrRetry(player, answer.retryAfter, true);
     case AnswerKind::terminated: {
       record(audit::AskSeen::Answer::Kind::terminated);
-      ++tallies_.terminated;
-      if (second) return;
-      const bool safe =
-          stage_.day->deployment.terms.roomTypes[static_cast<std::size_t>(player.arrival.roomType)].effect ==
-          Effect::repeatable;
-      return over(player, 0, safe);
+      ++statistics_.terminated;
+      if (isRepeat) return;
+      const bool repeatable =
+          context_.day->deployment.terms.roomTypes[static_cast<std::size_t>(player.arrival.roomType)]
+              .effect == Effect::repeatable;
+      return finishOrRetry(player, 0, repeatable);
     }
     case AnswerKind::ended:
-      if (second) return;
-      ++tallies_.ended;
-      return over(player, answer.retryAfter, answer.reason != "finished");
+      if (isRepeat) return;
+      ++statistics_.ended;
+      return finishOrRetry(player, answer.retryAfter, answer.reason != "finished");
     case AnswerKind::rung:
       return;
     case AnswerKind::error:
-      return over(player, 0, false);
+      return finishOrRetry(player, 0, false);
   }
 }
 
-void Crowd::over(Player& player, Micros retryAfter, bool mayComeAgain) {
-  const Micros now = stage_.now();
+void PlayerPool::finishOrRetry(Player& player, Micros retryAfter, bool mayRetry) {
+  const Micros now = context_.now();
   // Its second ask on the same socket goes unheard from here on.
-  if (player.secondSeen != player.seen && stage_.record->asks[player.secondSeen].answers.empty())
-    stage_.record->asks[player.secondSeen].closedAt = now;
+  if (player.repeatRecord != player.requestRecord &&
+      context_.record->asks[player.repeatRecord].answers.empty())
+    context_.record->asks[player.repeatRecord].closedAt = now;
   player.drop();
-  const Micros pause = std::max(retryAfter, chance_.span(stage_.day->pauseLeast, stage_.day->pauseMost));
-  const bool again = mayComeAgain && now + pause < std::min(player.endsAt - 500'000, stage_.day->length) &&
-                     chance_.comes(stage_.day->comeAgain);
+  const Micros pause =
+      std::max(retryAfter, chance_.span(context_.day->minRetryPause, context_.day->maxRetryPause));
+  const bool again = mayRetry && now + pause < std::min(player.endsAt - 500'000, context_.day->length) &&
+                     chance_.comes(context_.day->retryShare);
   player.state = again ? Player::State::waiting : Player::State::done;
   player.wakeAt = now + pause;
 }
 
-void Crowd::lost(Player& player) {
-  const Micros now = stage_.now();
-  const Player::State was = player.state;
-  if (player.arrival.manner == Manner::garbage) {
-    ++tallies_.garbageClosed;
+void PlayerPool::onConnectionLost(Player& player) {
+  const Micros now = context_.now();
+  const Player::State previousState = player.state;
+  if (player.arrival.behaviour == ClientBehaviour::sendsGarbage) {
+    ++statistics_.garbageClosed;
     player.drop();
     player.state = Player::State::done;
     return;
   }
-  if (was == Player::State::opening) {
+  if (previousState == Player::State::connecting) {
     player.drop();
     player.state = Player::State::waiting;
-    player.wakeAt = now + tryAnother;
+    player.wakeAt = now + reconnectDelay;
     return;
   }
-  if (was != Player::State::asking && was != Player::State::playing) return player.drop();
-  ++tallies_.socketsLost;
+  if (previousState != Player::State::awaitingAnswer && previousState != Player::State::playing)
+    return player.drop();
+  ++statistics_.socketsLost;
   player.record().closedAt = now;
   player.record().lostSocket = true;
-  const bool unsafe =
-      stage_.day->deployment.terms.roomTypes[static_cast<std::size_t>(player.arrival.roomType)].effect !=
+  const bool nonRepeatable =
+      context_.day->deployment.terms.roomTypes[static_cast<std::size_t>(player.arrival.roomType)].effect !=
       Effect::repeatable;
   // An answer to a paid ask that is lost with its director is asked for again there, with the same key.
-  if (was == Player::State::asking && unsafe && now < player.endsAt) {
-    ++tallies_.askedAgain;
+  if (previousState == Player::State::awaitingAnswer && nonRepeatable && now < player.endsAt) {
+    ++statistics_.requestsRepeated;
     player.drop();
-    player.comingBack = true;
+    player.repeatsRequest = true;
     player.state = Player::State::waiting;
-    player.wakeAt = now + chance_.span(backLeast, backMost);
+    player.wakeAt = now + chance_.span(minReturnDelay, maxReturnDelay);
     return;
   }
-  over(player, 0, true);
+  finishOrRetry(player, 0, true);
 }
 
-void Crowd::tick() {
-  const Micros now = stage_.now();
+void PlayerPool::tick() {
+  const Micros now = context_.now();
   while (next_ < arrivals_.size() && arrivals_[next_].at <= now) {
     auto player = std::make_unique<Player>();
-    player->crowd = this;
+    player->pool = this;
     player->arrival = arrivals_[next_++];
     player->endsAt = now + player->arrival.length;
-    player->askedAt = now;
+    player->requestedAt = now;
     players_.emplace(player->arrival.viewer, std::move(player));
   }
   for (auto& [viewer, player] : players_) {
@@ -268,31 +274,32 @@
     if (player->state == Player::State::done || now < player->wakeAt) continue;
     switch (player->state) {
       case Player::State::waiting:
-        if (now >= stage_.day->length || now + 500'000 > player->endsAt) {
-          if (player->first) ++tallies_.neverReached;
+        if (now >= context_.day->length || now + 500'000 > player->endsAt) {
+          if (player->firstRequest) ++statistics_.neverConnected;
           player->state = Player::State::done;
         } else {
-          begin(*player);
+          connect(*player);
         }
         break;
-      case Player::State::opening:
+      case Player::State::connecting:
         player->drop();
         player->state = Player::State::waiting;
-        player->wakeAt = now + tryAnother;
+        player->wakeAt = now + reconnectDelay;
         break;
-      case Player::State::asking:
-        if (player->closeNext) {
-          player->closeNext = false;
+      case Player::State::awaitingAnswer:
+        if (player->disconnectNext) {
+          player->disconnectNext = false;
           player->record().closedAt = now;
           player->drop();
-          player->comingBack = true;
+          player->repeatsRequest = true;
           player->state = Player::State::waiting;
-          player->wakeAt = now + chance_.span(backLeast, backMost);
+          player->wakeAt = now + chance_.span(minReturnDelay, maxReturnDelay);
           break;
         }
-        if (player->arrival.manner == Manner::plain || player->arrival.manner == Manner::closer ||
-            player->arrival.manner == Manner::repeater)
-          ++tallies_.unanswered;
+        if (player->arrival.behaviour == ClientBehaviour::normal ||
+            player->arrival.behaviour == ClientBehaviour::disconnects ||
+            player->arrival.behaviour == ClientBehaviour::duplicatesRequest)
+          ++statistics_.unanswered;
         player->drop();
         player->state = Player::State::done;
         break;
@@ -307,10 +314,10 @@
   closed_.clear();
 }
 
-bool Crowd::done() const {
+bool PlayerPool::done() const {
   return next_ == arrivals_.size() && std::all_of(players_.begin(), players_.end(), [](const auto& p) {
            return p.second->state == Player::State::done || p.second->state == Player::State::playing ||
-                  p.second->arrival.manner == Manner::mute;
+                  p.second->arrival.behaviour == ClientBehaviour::neverReads;
          });
 }
 
--- a/src/lab/players.h
+++ b/src/lab/players.h
@@ -16,39 +16,40 @@
 
 namespace lupinsill::lab {
 
-struct Tallies {
-  std::size_t asks = 0, playing = 0, inTime = 0, throttled = 0, terminated = 0, unanswered = 0;
-  std::size_t ended = 0, socketsLost = 0, neverReached = 0, garbageClosed = 0, garbageSent = 0,
-              askedAgain = 0;
+struct PlayerStatistics {
+  std::size_t requests = 0, playing = 0, metJoinObjective = 0, throttled = 0, terminated = 0, unanswered = 0;
+  std::size_t ended = 0, socketsLost = 0, neverConnected = 0, garbageClosed = 0, garbageSent = 0,
+              requestsRepeated = 0;
   double offered = 0;
 };
 
-class Crowd {
+class PlayerPool {
  public:
-  Crowd(Stage& stage, const Processes& processes, std::vector<Arrival> arrivals, std::uint64_t seed);
-  ~Crowd();
+  PlayerPool(LabContext& context, const Processes& processes, std::vector<Arrival> arrivals,
+             std::uint64_t seed);
+  ~PlayerPool();
   void tick();
   bool done() const;  // nobody is waiting for an answer any more
-  Micros lengthLeft(const std::string& viewer) const;
-  bool inTime(const std::string& viewer, int roomType) const;
-  const Tallies& tallies() const { return tallies_; }
+  Micros remainingLength(const std::string& viewer) const;
+  bool metJoinObjective(const std::string& viewer, int roomType) const;
+  const PlayerStatistics& statistics() const { return statistics_; }
 
  private:
   struct Player;
-  void begin(Player& player);
-  void ask(Player& player, bool again);
-  void heard(Player& player, const websocket::AnswerMessage& answer);
-  void over(Player& player, Micros retryAfter, bool mayComeAgain);
-  void lost(Player& player);
+  void connect(Player& player);
+  void sendRequest(Player& player, bool again);
+  void onAnswer(Player& player, const websocket::AnswerMessage& answer);
+  void finishOrRetry(Player& player, Micros retryAfter, bool mayRetry);
+  void onConnectionLost(Player& player);
 
-  Stage& stage_;
+  LabContext& context_;
   const Processes& processes_;
   Chance chance_;
   std::vector<Arrival> arrivals_;
   std::size_t next_ = 0;
   std::map<int, std::unique_ptr<Player>> players_;
   std::vector<std::unique_ptr<websocket::Channel>> closed_;
-  Tallies tallies_;
+  PlayerStatistics statistics_;
 };
 
 }  // namespace lupinsill::lab
--- a/src/lab/processes.cpp
+++ b/src/lab/processes.cpp
@@ -38,9 +38,9 @@
   return out;
 }
 
-void write(std::ostream& out, const settings::Element& e, const char* space) {
+void write(std::ostream& out, const settings::Element& e, const char* namespaceUri) {
   out << "<" << e.name;
-  if (space != nullptr) out << " xmlns=\"" << space << "\"";
+  if (namespaceUri != nullptr) out << " xmlns=\"" << namespaceUri << "\"";
   for (const auto& [key, value] : e.attributes)
     if (key != "xmlns") out << " " << key << "=\"" << escaped(value) << "\"";
   out << ">";
@@ -48,7 +48,8 @@
   out << "</" << e.name << ">\n";
 }
 
-void put(settings::Element& root, const char* child, const char* attribute, const std::string& value) {
+void setAttribute(settings::Element& root, const char* child, const char* attribute,
+                  const std::string& value) {
   for (settings::Element& e : root.children) {
     if (e.name != child) continue;
     for (auto& [key, old] : e.attributes)
@@ -63,19 +64,19 @@
 }  // namespace
 
 Processes::Processes(const Day& day, std::string folder, std::vector<std::string> extraArguments, bool grpc)
-    : grpc_(grpc), day_(day), folder_(std::move(folder)), extra_(std::move(extraArguments)) {
-  places_.resize(static_cast<std::size_t>(day.directors));
-  for (int place = 0; place < day.directors; ++place) {
-    Place& p = places_[static_cast<std::size_t>(place)];
-    p.zone = place % day.zones;
-    p.folder = folder_ + "/d" + std::to_string(place);
+    : grpc_(grpc), day_(day), folder_(std::move(folder)), extraArguments_(std::move(extraArguments)) {
+  directors_.resize(static_cast<std::size_t>(day.directors));
+  for (int directorIndex = 0; directorIndex < day.directors; ++directorIndex) {
+    DirectorProcess& p = directors_[static_cast<std::size_t>(directorIndex)];
+    p.zone = directorIndex % day.zones;
+    p.folder = folder_ + "/d" + std::to_string(directorIndex);
     std::filesystem::create_directories(p.folder);
-    writeSettings(place);
+    writeSettings(directorIndex);
   }
 }
 
 Processes::~Processes() {
-  for (Place& p : places_)
+  for (DirectorProcess& p : directors_)
     if (p.pid > 0) {
       ::kill(p.pid, SIGKILL);
       reap(p.pid);
@@ -89,32 +90,32 @@
                    static_cast<double>(used.ru_utime.tv_usec + used.ru_stime.tv_usec) / 1e6;
 }
 
-void Processes::writeSettings(int place) {
-  const Place& p = places_[static_cast<std::size_t>(place)];
+void Processes::writeSettings(int directorIndex) {
+  const DirectorProcess& p = directors_[static_cast<std::size_t>(directorIndex)];
   settings::Element root = settings::readXml(day_.settingsFile, settings::directorSchema);
-  put(root, "director", "name", "d" + std::to_string(place));
-  put(root, "director", "ordinal", std::to_string(place));
-  put(root, "director", "of", std::to_string(day_.directors));
-  put(root, "director", "zone", "zone" + std::to_string(p.zone));
-  put(root, "listen", "players", "127.0.0.1:" + std::to_string(p.players));
-  put(root, "listen", "admin", "127.0.0.1:0");
-  if (grpc_) put(root, "listen", "grpc", "127.0.0.1:" + std::to_string(p.grpc));
-  put(root, "list", "file", listFile());
-  put(root, "list", "kept-as", p.folder + "/last-list.xml");
+  setAttribute(root, "director", "name", "d" + std::to_string(directorIndex));
+  setAttribute(root, "director", "ordinal", std::to_string(directorIndex));
+  setAttribute(root, "director", "of", std::to_string(day_.directors));
+  setAttribute(root, "director", "zone", "zone" + std::to_string(p.zone));
+  setAttribute(root, "listen", "players", "127.0.0.1:" + std::to_string(p.playersPort));
+  setAttribute(root, "listen", "admin", "127.0.0.1:0");
+  if (grpc_) setAttribute(root, "listen", "grpc", "127.0.0.1:" + std::to_string(p.grpcPort));
+  setAttribute(root, "list", "file", listFile());
+  setAttribute(root, "list", "kept-as", p.folder + "/last-list.xml");
   std::ofstream out(p.folder + "/settings.xml");
   write(out, root, "urn:lupinsill:settings:1");
 }
 
-void Processes::start(int place) {
-  Place& p = places_[static_cast<std::size_t>(place)];
+void Processes::start(int directorIndex) {
+  DirectorProcess& p = directors_[static_cast<std::size_t>(directorIndex)];
   if (p.pid > 0) return;
   std::filesystem::remove(p.folder + "/ports");
   const std::string log = p.folder + "/log";
-  std::vector<std::string> words{"lupinsill", "director",         "--config", p.folder + "/settings.xml",
-                                 "--ports",   p.folder + "/ports"};
-  words.insert(words.end(), extra_.begin(), extra_.end());
+  std::vector<std::string> commandLine{
+      "lupinsill", "director", "--config", p.folder + "/settings.xml", "--ports", p.folder + "/ports"};
+  commandLine.insert(commandLine.end(), extraArguments_.begin(), extraArguments_.end());
   std::vector<char*> arguments;
-  for (std::string& word : words) arguments.push_back(word.data());
+  for (std::string& word : commandLine) arguments.push_back(word.data());
   arguments.push_back(nullptr);
   const pid_t lab = getpid();
   const pid_t pid = fork();
@@ -132,81 +133,83 @@
   ++p.run;
 }
 
-void Processes::look() {
-  for (Place& p : places_) {
-    if (p.pid <= 0 || p.players != 0) continue;
+void Processes::readPorts() {
+  for (DirectorProcess& p : directors_) {
+    if (p.pid <= 0 || p.playersPort != 0) continue;
     std::ifstream in(p.folder + "/ports");
-    std::string word;
+    std::string label;
     int players = 0, admin = 0;
-    if (in >> word >> players >> word >> admin) p.players = players, p.admin = admin;
-    if (grpc_) in >> word >> p.grpc;
+    if (in >> label >> players >> label >> admin) p.playersPort = players, p.adminPort = admin;
+    if (grpc_) in >> label >> p.grpcPort;
   }
 }
 
-void Processes::keepPorts() {
-  for (int place = 0; place < static_cast<int>(places_.size()); ++place) writeSettings(place);
+void Processes::fixPorts() {
+  for (int directorIndex = 0; directorIndex < static_cast<int>(directors_.size()); ++directorIndex)
+    writeSettings(directorIndex);
 }
 
-std::vector<int> Processes::ended() {
-  std::vector<int> out;
-  for (std::size_t i = 0; i < places_.size(); ++i) {
-    Place& p = places_[i];
+std::vector<int> Processes::reapExited() {
+  std::vector<int> exited;
+  for (std::size_t i = 0; i < directors_.size(); ++i) {
+    DirectorProcess& p = directors_[i];
     siginfo_t info{};
     if (p.pid <= 0 || waitid(P_PID, static_cast<id_t>(p.pid), &info, WEXITED | WNOHANG | WNOWAIT) != 0 ||
         info.si_pid != p.pid)
       continue;
     reap(p.pid);
-    p.pid = p.players = p.admin = 0;
-    out.push_back(static_cast<int>(i));
+    p.pid = p.playersPort = p.adminPort = 0;
+    exited.push_back(static_cast<int>(i));
   }
-  return out;
+  return exited;
 }
 
-void Processes::kill(int place) {
-  if (const Place& p = places_[static_cast<std::size_t>(place)]; p.pid > 0) ::kill(p.pid, SIGKILL);
+void Processes::kill(int directorIndex) {
+  if (const DirectorProcess& p = directors_[static_cast<std::size_t>(directorIndex)]; p.pid > 0)
+    ::kill(p.pid, SIGKILL);
 }
 
-void Processes::kill(int place, Micros now, audit::Record& record) {
-  Place& p = places_[static_cast<std::size_t>(place)];
+void Processes::kill(int directorIndex, Micros now, audit::Record& record) {
+  DirectorProcess& p = directors_[static_cast<std::size_t>(directorIndex)];
   if (p.pid <= 0) return;
-  if (p.stoppedAt >= 0) go(place, now, record);
+  if (p.pausedAt >= 0) resume(directorIndex, now, record);
   ::kill(p.pid, SIGKILL);
   reap(p.pid);
-  record.downs.push_back({place, p.run, now});
+  record.downs.push_back({directorIndex, p.run, now});
   p.pid = 0;
-  p.players = p.admin = 0;
+  p.playersPort = p.adminPort = 0;
 }
 
-void Processes::stop(int place, Micros now) {
-  Place& p = places_[static_cast<std::size_t>(place)];
-  if (p.pid <= 0 || p.stoppedAt >= 0) return;
+void Processes::pause(int directorIndex, Micros now) {
+  DirectorProcess& p = directors_[static_cast<std::size_t>(directorIndex)];
+  if (p.pid <= 0 || p.pausedAt >= 0) return;
   ::kill(p.pid, SIGSTOP);
-  p.stoppedAt = now;
+  p.pausedAt = now;
 }
 
-void Processes::go(int place, Micros now, audit::Record& record) {
-  Place& p = places_[static_cast<std::size_t>(place)];
-  if (p.pid <= 0 || p.stoppedAt < 0) return;
+void Processes::resume(int directorIndex, Micros now, audit::Record& record) {
+  DirectorProcess& p = directors_[static_cast<std::size_t>(directorIndex)];
+  if (p.pid <= 0 || p.pausedAt < 0) return;
   ::kill(p.pid, SIGCONT);
-  record.stood.push_back({place, p.run, p.stoppedAt, now});
-  p.stoppedAt = -1;
+  record.stood.push_back({directorIndex, p.run, p.pausedAt, now});
+  p.pausedAt = -1;
 }
 
-bool Processes::end() {
-  for (const Place& p : places_)
+bool Processes::terminateAll() {
+  for (const DirectorProcess& p : directors_)
     if (p.pid > 0) ::kill(p.pid, SIGTERM);
   bool clean = true;
-  for (Place& p : places_) {
+  for (DirectorProcess& p : directors_) {
     if (p.pid <= 0) continue;
-    bool gone = false;
-    for (int i = 0; i < 500 && !gone; ++i) {
+    bool exited = false;
+    for (int i = 0; i < 500 && !exited; ++i) {
       siginfo_t info{};
-      gone = waitid(P_PID, static_cast<id_t>(p.pid), &info, WEXITED | WNOHANG | WNOWAIT) == 0 &&
-             info.si_pid == p.pid;
-      if (gone && (info.si_code != CLD_EXITED || info.si_status != 0)) clean = false;
-      if (!gone) usleep(10'000);
+      exited = waitid(P_PID, static_cast<id_t>(p.pid), &info, WEXITED | WNOHANG | WNOWAIT) == 0 &&
+               info.si_pid == p.pid;
+      if (exited && (info.si_code != CLD_EXITED || info.si_status != 0)) clean = false;
+      if (!exited) usleep(10'000);
     }
-    if (!gone) {
+    if (!exited) {
       clean = false;
       ::kill(p.pid, SIGKILL);
     }
--- a/src/lab/processes.h
+++ b/src/lab/processes.h
@@ -13,14 +13,14 @@
 
 namespace lupinsill::lab {
 
-struct Place {  // of a director
-  int run = 0;  // counts its starts
+struct DirectorProcess {  // of a director
+  int run = 0;            // counts its starts
   pid_t pid = 0;
   int zone = 0;
-  int players = 0;  // port, 0 while it is down
-  int admin = 0;
-  int grpc = 0;  // where it is asked for
-  Micros stoppedAt = -1;
+  int playersPort = 0;  // port, 0 while it is down
+  int adminPort = 0;
+  int grpcPort = 0;  // where it is asked for
+  Micros pausedAt = -1;
   std::string folder;
 };
 
@@ -31,31 +31,31 @@
   Processes(const Processes&) = delete;
   Processes& operator=(const Processes&) = delete;
 
-  void start(int place);
+  void start(int directorIndex);
   // Reads the ports of those that have come up since.
-  void look();
+  void readPorts();
   // From now on each starts on the ports that it has, as in service.
-  void keepPorts();
+  void fixPorts();
   // The places of those that ended by themselves since; they may be started again.
-  std::vector<int> ended();
-  void kill(int place);
-  void kill(int place, Micros now, audit::Record& record);
-  void stop(int place, Micros now);  // SIGSTOP
-  void go(int place, Micros now, audit::Record& record);
+  std::vector<int> reapExited();
+  void kill(int directorIndex);
+  void kill(int directorIndex, Micros now, audit::Record& record);
+  void pause(int directorIndex, Micros now);  // SIGSTOP
+  void resume(int directorIndex, Micros now, audit::Record& record);
   // Ends all of them in order; false where one did not end by itself within five seconds.
-  bool end();
-  const std::vector<Place>& places() const { return places_; }
+  bool terminateAll();
+  const std::vector<DirectorProcess>& directors() const { return directors_; }
   std::string listFile() const { return folder_ + "/nodes.xml"; }
   double cpuSeconds() const { return cpuSeconds_; }
 
  private:
-  void writeSettings(int place);
+  void writeSettings(int directorIndex);
   void reap(pid_t pid);
   bool grpc_;
   const Day& day_;
   std::string folder_;
-  std::vector<std::string> extra_;
-  std::vector<Place> places_;
+  std::vector<std::string> extraArguments_;
+  std::vector<DirectorProcess> directors_;
   double cpuSeconds_ = 0;
 };
 
--- a/src/lab/run.cpp
+++ b/src/lab/run.cpp
@@ -19,12 +19,12 @@
 
 constexpr Micros millisecond = 1'000;
 constexpr Micros second = 1'000'000;
-constexpr Micros stepSpan = 50 * millisecond;
-constexpr Micros upTime = 20 * second;       // for directors to come up
-constexpr Micros settleTime = 12 * second;   // after the last ask
-constexpr Micros drainSpan = 3 * second;     // between `draining` and `gone`
-constexpr Micros replaceAfter = 1 * second;  // a killed node's successor starts
-constexpr Micros downTime = 1500 * millisecond;
+constexpr Micros worldStepInterval = 50 * millisecond;
+constexpr Micros startUpTimeout = 20 * second;   // for directors to come up
+constexpr Micros settleTimeout = 12 * second;    // after the last ask
+constexpr Micros drainPeriod = 3 * second;       // between `draining` and `gone`
+constexpr Micros replacementDelay = 1 * second;  // a killed node's successor starts
+constexpr Micros directorDowntime = 1500 * millisecond;
 
 std::string utc(Micros wall) {
   const std::time_t seconds = static_cast<std::time_t>(wall / second);
@@ -37,9 +37,9 @@
 }
 
 // One day: the fleet, its list, the directors, the players, and the script of what goes wrong.
-class Laboratory {
+class DayRunner {
  public:
-  Laboratory(const RunOptions& options, std::string folder)
+  DayRunner(const RunOptions& options, std::string folder)
       : options_(options),
         day_(readDay(options.dayFile)),
         base_(event_base_new()),
@@ -47,66 +47,68 @@
         chance_(options.seed, 4),
         folder_(std::move(folder)),
         processes_(day_, folder_, arguments(options)) {
-    stage_.base = base_.get();
-    stage_.day = &day_;
-    stage_.world = &world_;
-    stage_.record = &record_;
+    context_.base = base_.get();
+    context_.day = &day_;
+    context_.world = &world_;
+    context_.record = &record_;
   }
 
-  RunResult play();
+  RunResult run();
 
  private:
-  struct Act {
+  struct ScheduledAction {
     Micros at;
-    std::function<void()> what;
+    std::function<void()> action;
   };
-  struct Listed {
+  struct ListedNode {
     StandIn* node;
     NodeState state;
   };
   static std::vector<std::string> arguments(const RunOptions& options);
-  void later(Micros at, std::function<void()> what) { acts_.push_back({at, std::move(what)}); }
-  StandIn& boot(int cell, bool cold);
-  void retire(StandIn& node);
-  void list(NodeId node, NodeState state);
-  void publish();
-  void script(const Trouble& trouble);
-  std::vector<std::size_t> someNodes(double share);
-  void replace(int cell);
-  void drainAndReplace(int cell, Micros at, bool replaced);
-  void loop(const std::function<bool()>& until);
-  RunResult verdict(bool clean);
+  void schedule(Micros at, std::function<void()> action) {
+    scheduledActions_.push_back({at, std::move(action)});
+  }
+  StandIn& startNode(int cell, bool cold);
+  void killNode(StandIn& node);
+  void setListedState(NodeId node, NodeState state);
+  void publishList();
+  void scheduleFault(const ScheduledFault& trouble);
+  std::vector<std::size_t> pickCells(double share);
+  void startReplacement(int cell);
+  void drainAndReplace(int cell, Micros at, bool startsReplacement);
+  void runUntil(const std::function<bool()>& condition);
+  RunResult makeResult(bool clean);
 
-  void happened(history::What what, int who, double much = 0) {
-    if (begun_) history_.happenings.push_back({stage_.now(), what, who, much, 0, 0, 0, 0});
+  void recordEvent(history::What what, int who, double magnitude = 0) {
+    if (dayStarted_) history_.happenings.push_back({context_.now(), what, who, magnitude, 0, 0, 0, 0});
   }
-  void keepHistory();
+  void writeHistory();
 
   RunOptions options_;
   Day day_;
   history::History history_;
-  bool begun_ = false;
+  bool dayStarted_ = false;
   net::EventBase base_;
   audit::Record record_;
   model::World world_;
-  Stage stage_;
+  LabContext context_;
   Chance chance_;
   std::string folder_;
   Processes processes_;
   std::vector<std::unique_ptr<StandIn>> nodes_;
   std::vector<StandIn*> byCell_;
-  std::map<NodeId, Listed> listed_;
-  std::unique_ptr<Crowd> crowd_;
-  std::vector<Act> acts_;
+  std::map<NodeId, ListedNode> listed_;
+  std::unique_ptr<PlayerPool> playerPool_;
+  std::vector<ScheduledAction> scheduledActions_;
   NodeId nextNode_ = 0;
   std::uint64_t listVersion_ = 0;
-  Micros publishAt_ = 0;
-  Micros staleUntil_ = 0;
-  Micros steppedAt_ = 0;
-  Micros lookedAt_ = 0;
+  Micros publishListAt_ = 0;
+  Micros listStaleUntil_ = 0;
+  Micros worldSteppedAt_ = 0;
+  Micros portsReadAt_ = 0;
 };
 
-std::vector<std::string> Laboratory::arguments(const RunOptions& options) {
+std::vector<std::string> DayRunner::arguments(const RunOptions& options) {
   std::vector<std::string> words;
   if (!options.plant.empty()) words.insert(words.end(), {"--plant", options.plant});
   if (!options.policy.empty()) words.insert(words.end(), {"--policy", options.policy});
@@ -114,38 +116,39 @@
   return words;
 }
 
-StandIn& Laboratory::boot(int cell, bool cold) {
+StandIn& DayRunner::startNode(int cell, bool cold) {
   const NodeId id = ++nextNode_;
-  nodes_.push_back(std::make_unique<StandIn>(stage_, id, cell, "zone" + std::to_string(cell % day_.zones),
+  nodes_.push_back(std::make_unique<StandIn>(context_, id, cell, "zone" + std::to_string(cell % day_.zones),
                                              cold, options_.seed));
   byCell_[static_cast<std::size_t>(cell)] = nodes_.back().get();
-  if (cold) happened(history::What::start, static_cast<int>(id), cell);
+  if (cold) recordEvent(history::What::start, static_cast<int>(id), cell);
   return *nodes_.back();
 }
 
-void Laboratory::retire(StandIn& node) {
+void DayRunner::killNode(StandIn& node) {
   if (node.dead()) return;
-  happened(history::What::kill, static_cast<int>(node.node));
+  recordEvent(history::What::kill, static_cast<int>(node.node));
   node.kill();
 }
 
-void Laboratory::list(NodeId node, NodeState state) {
+void DayRunner::setListedState(NodeId node, NodeState state) {
   if (state != NodeState::ready)
-    happened(state == NodeState::gone ? history::What::gone : history::What::drain, static_cast<int>(node));
+    recordEvent(state == NodeState::gone ? history::What::gone : history::What::drain,
+                static_cast<int>(node));
   if (state == NodeState::gone)
     listed_.erase(node);
   else
     listed_[node] = {
         std::find_if(nodes_.begin(), nodes_.end(), [&](const auto& n) { return n->node == node; })->get(),
         state};
-  publishAt_ = publishAt_ == 0 ? stage_.now() + day_.listLate : publishAt_;
+  publishListAt_ = publishListAt_ == 0 ? context_.now() + day_.listDelay : publishListAt_;
 }
 
 // The whole list under another name, then renamed: a director never reads half of one.
-void Laboratory::publish() {
-  const Micros now = stage_.now();
-  if (publishAt_ == 0 || now < publishAt_ || now < staleUntil_) return;
-  publishAt_ = 0;
+void DayRunner::publishList() {
+  const Micros now = context_.now();
+  if (publishListAt_ == 0 || now < publishListAt_ || now < listStaleUntil_) return;
+  publishListAt_ = 0;
   std::string text =
       "<nodes xmlns=\"urn:lupinsill:nodes:1\" version=\"" + std::to_string(++listVersion_) + "\">\n";
   for (const auto& [id, entry] : listed_) {
@@ -173,233 +176,241 @@
   }
 }
 
-std::vector<std::size_t> Laboratory::someNodes(double share) {
+std::vector<std::size_t> DayRunner::pickCells(double share) {
   const auto all = static_cast<std::size_t>(day_.nodes);
   return chance_.some(
       all, std::max<std::size_t>(1, static_cast<std::size_t>(share * static_cast<double>(all) + 0.5)));
 }
 
-void Laboratory::replace(int cell) {
-  StandIn& next = boot(cell, true);
-  list(next.node, NodeState::ready);
+void DayRunner::startReplacement(int cell) {
+  StandIn& next = startNode(cell, true);
+  setListedState(next.node, NodeState::ready);
 }
 
-void Laboratory::drainAndReplace(int cell, Micros at, bool replaced) {
-  later(at, [this, cell] {
+void DayRunner::drainAndReplace(int cell, Micros at, bool startsReplacement) {
+  schedule(at, [this, cell] {
     StandIn& node = *byCell_[static_cast<std::size_t>(cell)];
     node.drain();
-    if (!node.dead()) list(node.node, NodeState::draining);
+    if (!node.dead()) setListedState(node.node, NodeState::draining);
   });
-  later(at + drainSpan, [this, cell, replaced] {
+  schedule(at + drainPeriod, [this, cell, startsReplacement] {
     StandIn& node = *byCell_[static_cast<std::size_t>(cell)];
-    list(node.node, NodeState::gone);
-    retire(node);
-    if (replaced) replace(cell);
+    setListedState(node.node, NodeState::gone);
+    killNode(node);
+    if (startsReplacement) startReplacement(cell);
   });
 }
 
-void Laboratory::script(const Trouble& t) {
-  const Micros end = t.at + t.span;
-  const auto on = [&](const std::vector<std::size_t>& cells, auto begin, auto finish) {
-    const auto tell = [this, kind = t.kind](const StandIn& n, double much) {
+void DayRunner::scheduleFault(const ScheduledFault& t) {
+  const Micros end = t.at + t.duration;
+  const auto applyToCells = [&](const std::vector<std::size_t>& cells, auto inject, auto clear) {
+    const auto recordFault = [this, kind = t.kind](const StandIn& n, double magnitude) {
       const auto id = static_cast<int>(n.node);
-      if (kind == Kind::hang) happened(history::What::hang, id, much > 0);
-      if (kind == Kind::answersLost) happened(history::What::lose, id, much > 0);
-      if (kind == Kind::fastErrors) happened(history::What::fail, id, much);
-      if (kind == Kind::linkCut) happened(history::What::linkCut, id, much);
+      if (kind == FaultKind::hang) recordEvent(history::What::hang, id, magnitude > 0);
+      if (kind == FaultKind::answersLost) recordEvent(history::What::lose, id, magnitude > 0);
+      if (kind == FaultKind::fastErrors) recordEvent(history::What::fail, id, magnitude);
+      if (kind == FaultKind::linkCut) recordEvent(history::What::linkCut, id, magnitude);
     };
     for (const std::size_t cell : cells) {
-      later(t.at, [this, cell, begin, tell, much = std::max(t.much, 1e-3)] {
+      schedule(t.at, [this, cell, inject, recordFault, magnitude = std::max(t.magnitude, 1e-3)] {
         if (byCell_[cell]->dead()) return;
-        tell(*byCell_[cell], much);
-        begin(*byCell_[cell]);
+        recordFault(*byCell_[cell], magnitude);
+        inject(*byCell_[cell]);
       });
-      later(end, [this, cell, finish, tell] {
+      schedule(end, [this, cell, clear, recordFault] {
         if (byCell_[cell]->dead()) return;
-        tell(*byCell_[cell], 0);
-        finish(*byCell_[cell]);
+        recordFault(*byCell_[cell], 0);
+        clear(*byCell_[cell]);
       });
     }
   };
   switch (t.kind) {
-    case Kind::answersLost:
-      return on(
-          someNodes(t.share), [](StandIn& n) { n.faults.loseAnswers = true; },
+    case FaultKind::answersLost:
+      return applyToCells(
+          pickCells(t.share), [](StandIn& n) { n.faults.loseAnswers = true; },
           [](StandIn& n) { n.faults.loseAnswers = false; });
-    case Kind::hang:
-      return on(
-          someNodes(t.share), [this](StandIn& n) { n.faults.hang = true, world_.stall(n.node, true); },
+    case FaultKind::hang:
+      return applyToCells(
+          pickCells(t.share), [this](StandIn& n) { n.faults.hang = true, world_.stall(n.node, true); },
           [this](StandIn& n) { n.faults.hang = false, world_.stall(n.node, false); });
-    case Kind::fastErrors:
-      return on(
-          someNodes(t.share), [much = t.much](StandIn& n) { n.faults.fail = much; },
-          [](StandIn& n) { n.faults.fail = 0; });
-    case Kind::slow:
-      return on(
-          someNodes(t.share), [much = t.much](StandIn& n) { n.faults.slow = much; },
-          [](StandIn& n) { n.faults.slow = 0; });
-    case Kind::linkCut:
-      return on(
-          someNodes(t.share),
-          [this, much = t.much](StandIn& n) { world_.cutLink(n.node, std::max(1.0, much)); },
+    case FaultKind::fastErrors:
+      return applyToCells(
+          pickCells(t.share), [magnitude = t.magnitude](StandIn& n) { n.faults.failShare = magnitude; },
+          [](StandIn& n) { n.faults.failShare = 0; });
+    case FaultKind::slow:
+      return applyToCells(
+          pickCells(t.share), [magnitude = t.magnitude](StandIn& n) { n.faults.slowShare = magnitude; },
+          [](StandIn& n) { n.faults.slowShare = 0; });
+    case FaultKind::linkCut:
+      return applyToCells(
+          pickCells(t.share),
+          [this, magnitude = t.magnitude](StandIn& n) { world_.cutLink(n.node, std::max(1.0, magnitude)); },
           [this](StandIn& n) { world_.cutLink(n.node, 1); });
-    case Kind::uplinkCut: {
+    case FaultKind::uplinkCut: {
       const auto racks = static_cast<std::size_t>(std::max(1, day_.deployment.terms.racks));
       const auto n =
           std::max<std::size_t>(1, static_cast<std::size_t>(t.share * static_cast<double>(racks) + 0.5));
       for (const std::size_t rack : chance_.some(racks, n)) {
-        later(t.at,
-              [this, rack, much = t.much] { world_.cutUplink(static_cast<int>(rack), std::max(1.0, much)); });
-        later(end, [this, rack] { world_.cutUplink(static_cast<int>(rack), 1); });
+        schedule(t.at, [this, rack, magnitude = t.magnitude] {
+          world_.cutUplink(static_cast<int>(rack), std::max(1.0, magnitude));
+        });
+        schedule(end, [this, rack] { world_.cutUplink(static_cast<int>(rack), 1); });
       }
       return;
     }
-    case Kind::drain:
-      for (const std::size_t cell : someNodes(t.share))
-        drainAndReplace(static_cast<int>(cell), t.at + chance_.span(0, t.span), true);
+    case FaultKind::drain:
+      for (const std::size_t cell : pickCells(t.share))
+        drainAndReplace(static_cast<int>(cell), t.at + chance_.span(0, t.duration), true);
       return;
-    case Kind::wave: {
-      const std::vector<std::size_t> cells = someNodes(t.share);
+    case FaultKind::wave: {
+      const std::vector<std::size_t> cells = pickCells(t.share);
       for (std::size_t i = 0; i < cells.size(); ++i)
         drainAndReplace(static_cast<int>(cells[i]),
-                        t.at + static_cast<Micros>(i) * t.span / static_cast<Micros>(cells.size()), true);
+                        t.at + static_cast<Micros>(i) * t.duration / static_cast<Micros>(cells.size()), true);
       return;
     }
-    case Kind::kill:
-      for (const std::size_t cell : someNodes(t.share)) {
-        later(t.at, [this, cell] {
+    case FaultKind::kill:
+      for (const std::size_t cell : pickCells(t.share)) {
+        schedule(t.at, [this, cell] {
           StandIn& node = *byCell_[cell];
-          retire(node);
-          list(node.node, NodeState::gone);
+          killNode(node);
+          setListedState(node.node, NodeState::gone);
         });
-        later(t.at + replaceAfter, [this, cell] { replace(static_cast<int>(cell)); });
+        schedule(t.at + replacementDelay, [this, cell] { startReplacement(static_cast<int>(cell)); });
       }
       return;
-    case Kind::listStale:
-      later(t.at, [this, end, span = t.span] {
+    case FaultKind::listStale:
+      schedule(t.at, [this, end, span = t.duration] {
         for (int d = 0; d < day_.directors; ++d)
-          happened(history::What::late, d, static_cast<double>(span) / millisecond);
-        staleUntil_ = end;
+          recordEvent(history::What::late, d, static_cast<double>(span) / millisecond);
+        listStaleUntil_ = end;
       });
-      later(end, [this] {
-        for (int d = 0; d < day_.directors; ++d) happened(history::What::late, d, 0);
+      schedule(end, [this] {
+        for (int d = 0; d < day_.directors; ++d) recordEvent(history::What::late, d, 0);
       });
       return;
-    case Kind::reportsLate:
-      later(t.at, [this, much = t.much] { stage_.laterBy = static_cast<Micros>(much * second); });
-      later(end, [this] { stage_.laterBy = 0; });
+    case FaultKind::reportsLate:
+      schedule(t.at, [this, magnitude = t.magnitude] {
+        context_.extraReportDelay = static_cast<Micros>(magnitude * second);
+      });
+      schedule(end, [this] { context_.extraReportDelay = 0; });
       return;
-    case Kind::directorKill:
-    case Kind::directorRoll: {
+    case FaultKind::directorKill:
+    case FaultKind::directorRoll: {
       const auto all = static_cast<std::size_t>(day_.directors);
       const auto n =
           std::max<std::size_t>(1, static_cast<std::size_t>(t.share * static_cast<double>(all) + 0.5));
       const std::vector<std::size_t> hit = chance_.some(all, n);
       for (std::size_t i = 0; i < hit.size(); ++i) {
-        const int place = static_cast<int>(hit[i]);
-        const Micros at = t.kind == Kind::directorKill
+        const int directorIndex = static_cast<int>(hit[i]);
+        const Micros at = t.kind == FaultKind::directorKill
                               ? t.at
-                              : t.at + static_cast<Micros>(i) * t.span / static_cast<Micros>(hit.size());
-        later(at, [this, place] {
-          happened(history::What::down, place);
-          processes_.kill(place, stage_.now(), record_);
+                              : t.at + static_cast<Micros>(i) * t.duration / static_cast<Micros>(hit.size());
+        schedule(at, [this, directorIndex] {
+          recordEvent(history::What::down, directorIndex);
+          processes_.kill(directorIndex, context_.now(), record_);
         });
-        later(at + downTime, [this, place] {
-          happened(history::What::up, place);
-          processes_.start(place);
+        schedule(at + directorDowntime, [this, directorIndex] {
+          recordEvent(history::What::up, directorIndex);
+          processes_.start(directorIndex);
         });
       }
       return;
     }
-    case Kind::directorStop: {
+    case FaultKind::directorStop: {
       const auto all = static_cast<std::size_t>(day_.directors);
       const auto n =
           std::max<std::size_t>(1, static_cast<std::size_t>(t.share * static_cast<double>(all) + 0.5));
-      for (const std::size_t place : chance_.some(all, n)) {
-        later(t.at, [this, place] {
-          happened(history::What::stand, static_cast<int>(place), 1);
-          processes_.stop(static_cast<int>(place), stage_.now());
+      for (const std::size_t directorIndex : chance_.some(all, n)) {
+        schedule(t.at, [this, directorIndex] {
+          recordEvent(history::What::stand, static_cast<int>(directorIndex), 1);
+          processes_.pause(static_cast<int>(directorIndex), context_.now());
         });
-        later(end, [this, place] {
-          happened(history::What::stand, static_cast<int>(place), 0);
-          processes_.go(static_cast<int>(place), stage_.now(), record_);
+        schedule(end, [this, directorIndex] {
+          recordEvent(history::What::stand, static_cast<int>(directorIndex), 0);
+          processes_.resume(static_cast<int>(directorIndex), context_.now(), record_);
         });
       }
       return;
     }
-    case Kind::crowd:
-    case Kind::burst:
-    case Kind::closers:
-    case Kind::repeats:
-    case Kind::mute:
-    case Kind::garbage:
+    case FaultKind::crowd:
+    case FaultKind::burst:
+    case FaultKind::closers:
+    case FaultKind::repeats:
+    case FaultKind::mute:
+    case FaultKind::garbage:
       return;  // these are the players'
   }
 }
 
-void Laboratory::loop(const std::function<bool()>& until) {
-  while (!until()) {
+void DayRunner::runUntil(const std::function<bool()>& condition) {
+  while (!condition()) {
     const timeval wait{0, 2000};
     event_base_loopexit(base_.get(), &wait);
     event_base_loop(base_.get(), EVLOOP_ONCE);
-    const Micros now = stage_.now();
+    const Micros now = context_.now();
     // By their time, not by their place: an act may add others.
     while (true) {
-      const auto due = std::min_element(acts_.begin(), acts_.end(),
-                                        [](const Act& a, const Act& b) { return a.at < b.at; });
-      if (due == acts_.end() || due->at > now) break;
-      const auto what = std::move(due->what);
-      acts_.erase(due);
-      what();
+      const auto due =
+          std::min_element(scheduledActions_.begin(), scheduledActions_.end(),
+                           [](const ScheduledAction& a, const ScheduledAction& b) { return a.at < b.at; });
+      if (due == scheduledActions_.end() || due->at > now) break;
+      const auto action = std::move(due->action);
+      scheduledActions_.erase(due);
+      action();
     }
     for (std::size_t i = 0; i < nodes_.size(); ++i) nodes_[i]->tick();
-    if (now - steppedAt_ >= stepSpan) steppedAt_ = now, world_.step(now);
-    if (now - lookedAt_ >= 20 * millisecond) lookedAt_ = now, processes_.look();
-    publish();
-    if (crowd_) crowd_->tick();
+    if (now - worldSteppedAt_ >= worldStepInterval) worldSteppedAt_ = now, world_.step(now);
+    if (now - portsReadAt_ >= 20 * millisecond) portsReadAt_ = now, processes_.readPorts();
+    publishList();
+    if (playerPool_) playerPool_->tick();
   }
 }
 
-RunResult Laboratory::play() {
-  stage_.zero = net::monotonicNow();
-  stage_.lengthLeft = [this](const std::string& viewer) {
-    return crowd_ ? crowd_->lengthLeft(viewer) : second;
+RunResult DayRunner::run() {
+  context_.dayStart = net::monotonicNow();
+  context_.remainingLength = [this](const std::string& viewer) {
+    return playerPool_ ? playerPool_->remainingLength(viewer) : second;
   };
-  stage_.inTime = [this](const std::string& viewer, int roomType) {
-    return crowd_ && crowd_->inTime(viewer, roomType);
+  context_.metJoinObjective = [this](const std::string& viewer, int roomType) {
+    return playerPool_ && playerPool_->metJoinObjective(viewer, roomType);
   };
   byCell_.resize(static_cast<std::size_t>(day_.nodes));
-  for (int cell = 0; cell < day_.nodes; ++cell) list(boot(cell, false).node, NodeState::ready);
-  publishAt_ = 1;
-  publish();
-  for (int place = 0; place < day_.directors; ++place) processes_.start(place);
-  loop([this] {
-    if (stage_.now() > upTime)
+  for (int cell = 0; cell < day_.nodes; ++cell) setListedState(startNode(cell, false).node, NodeState::ready);
+  publishListAt_ = 1;
+  publishList();
+  for (int directorIndex = 0; directorIndex < day_.directors; ++directorIndex)
+    processes_.start(directorIndex);
+  runUntil([this] {
+    if (context_.now() > startUpTimeout)
       throw std::runtime_error("directors did not come up; see their logs with --keep");
-    return std::all_of(processes_.places().begin(), processes_.places().end(),
-                       [](const Place& p) { return p.players != 0; });
+    return std::all_of(processes_.directors().begin(), processes_.directors().end(),
+                       [](const DirectorProcess& p) { return p.playersPort != 0; });
   });
 
   // The day begins here; what the nodes recorded so far are their starts.
-  const Micros early = stage_.now();
-  stage_.zero += early;
-  for (auto& start : record_.starts) start.at -= early;
-  for (auto& word : record_.words) word.at -= early;
-  steppedAt_ = lookedAt_ = 0;
-  begun_ = true;
-  for (const Trouble& trouble : day_.troubles) script(trouble);
-  crowd_ = std::make_unique<Crowd>(stage_, processes_, drawArrivals(day_, options_.seed), options_.seed);
-  loop([this] { return stage_.now() >= day_.length; });
+  const Micros startUpTime = context_.now();
+  context_.dayStart += startUpTime;
+  for (auto& start : record_.starts) start.at -= startUpTime;
+  for (auto& word : record_.words) word.at -= startUpTime;
+  worldSteppedAt_ = portsReadAt_ = 0;
+  dayStarted_ = true;
+  for (const ScheduledFault& trouble : day_.faults) scheduleFault(trouble);
+  playerPool_ =
+      std::make_unique<PlayerPool>(context_, processes_, drawArrivals(day_, options_.seed), options_.seed);
+  runUntil([this] { return context_.now() >= day_.length; });
   world_.stopEarning();
-  const Micros ends = stage_.now();
-  loop([&] { return (crowd_->done() && acts_.empty()) || stage_.now() > ends + settleTime; });
-  const bool clean = processes_.end();
-  if (!options_.historyFile.empty()) keepHistory();
-  return verdict(clean);
+  const Micros ends = context_.now();
+  runUntil([&] {
+    return (playerPool_->done() && scheduledActions_.empty()) || context_.now() > ends + settleTimeout;
+  });
+  const bool clean = processes_.terminateAll();
+  if (!options_.historyFile.empty()) writeHistory();
+  return makeResult(clean);
 }
 
 // What the world did, without what the directors made of it: wishes as drawn, troubles as they hit.
-void Laboratory::keepHistory() {
+void DayRunner::writeHistory() {
   history_.settingsFile =
       std::filesystem::relative(day_.settingsFile,
                                 std::filesystem::absolute(options_.historyFile).parent_path())
@@ -409,12 +420,12 @@
   history_.nodes = day_.nodes;
   history_.zones = day_.zones;
   history_.linkKb = day_.linkKb;
-  history_.setUpLeast = day_.setUpLeast;
-  history_.setUpMost = day_.setUpMost;
+  history_.setUpLeast = day_.minSetUpTime;
+  history_.setUpMost = day_.maxSetUpTime;
   for (const Arrival& a : drawArrivals(day_, options_.seed)) {
     history_.happenings.push_back(
         {a.at, history::What::wish, a.viewer, 0, a.roomType, a.title, a.top, a.length});
-    if (a.manner == Manner::closer)
+    if (a.behaviour == ClientBehaviour::disconnects)
       history_.happenings.push_back({a.at + 60 * millisecond, history::What::cut, a.viewer, 0, 0, 0, 0, 0});
   }
   std::stable_sort(history_.happenings.begin(), history_.happenings.end(),
@@ -424,7 +435,7 @@
   if (!out.flush()) throw std::runtime_error(options_.historyFile + ": cannot be written");
 }
 
-RunResult Laboratory::verdict(bool clean) {
+RunResult DayRunner::makeResult(bool clean) {
   RunResult result;
   audit::Statistics statistics;
   statistics.terms = day_.deployment.terms;
@@ -434,13 +445,13 @@
   statistics.orderSlack = 250 * millisecond;
   statistics.listLook = day_.deployment.lookEvery + 400 * millisecond;
   result.rows = audit::check(record_, statistics);
-  result.tallies = crowd_->tallies();
+  result.playerStatistics = playerPool_->statistics();
   double earned = 0;
   for (const auto& [viewer, benefit] : world_.earned()) earned += benefit;
-  result.service = result.tallies.offered > 0 ? earned / result.tallies.offered : 0;
+  result.service = result.playerStatistics.offered > 0 ? earned / result.playerStatistics.offered : 0;
   result.setUps = record_.setUps.size();
-  result.fallen = record_.nodesFallen.size();
-  result.stepsPerMinute = world_.playedSeconds() > 0 ? world_.steps() * 60 / world_.playedSeconds() : 0;
+  result.overloadedNodes = record_.nodesFallen.size();
+  result.rungChangesPerMinute = world_.playedSeconds() > 0 ? world_.steps() * 60 / world_.playedSeconds() : 0;
   result.directorCpuSeconds = processes_.cpuSeconds();
   result.cleanEnd = clean;
   return result;
@@ -476,8 +487,8 @@
       if (!folder.empty()) std::filesystem::remove_all(folder, ignored);
     }
   } cleaner{options.keepFolder.empty() ? folder : ""};
-  Laboratory laboratory(options, folder);
-  return laboratory.play();
+  DayRunner runner(options, folder);
+  return runner.run();
 }
 
 std::string formatReport(const RunResult& r) {
@@ -492,7 +503,7 @@
     out += line;
     for (const std::string& words : row.first) out += "    " + words + "\n";
   }
-  const Tallies& t = r.tallies;
+  const PlayerStatistics& t = r.playerStatistics;
   std::snprintf(
       line, sizeof line,
       "asks %zu: playing %zu (within the objective %zu), throttled %zu, terminated %zu, unanswered %zu\n"
@@ -500,9 +511,9 @@
       "and closed %zu\n"
       "set-ups at nodes %zu, nodes fallen over %zu, steps of rung %.2f a subscription-minute, "
       "directors' CPU %.1f s\n",
-      t.asks, t.playing, t.inTime, t.throttled, t.terminated, t.unanswered, t.socketsLost, t.askedAgain,
-      t.neverReached, t.garbageSent, t.garbageClosed, r.setUps, r.fallen, r.stepsPerMinute,
-      r.directorCpuSeconds);
+      t.requests, t.playing, t.metJoinObjective, t.throttled, t.terminated, t.unanswered, t.socketsLost,
+      t.requestsRepeated, t.neverConnected, t.garbageSent, t.garbageClosed, r.setUps, r.overloadedNodes,
+      r.rungChangesPerMinute, r.directorCpuSeconds);
   out += line;
   std::snprintf(line, sizeof line, "service %.3f (benefit within the join objective over benefit asked)\n",
                 r.service);
--- a/src/lab/run.h
+++ b/src/lab/run.h
@@ -20,10 +20,10 @@
 
 struct RunResult {
   std::vector<audit::Row> rows;
-  Tallies tallies;
+  PlayerStatistics playerStatistics;
   double service = 0;  // benefit within the objective over benefit asked
-  std::size_t setUps = 0, fallen = 0;
-  double stepsPerMinute = 0;  // of rung, per minute played
+  std::size_t setUps = 0, overloadedNodes = 0;
+  double rungChangesPerMinute = 0;  // of rung, per minute played
   double directorCpuSeconds = 0;
   bool cleanEnd = true;
   std::size_t broken() const;
--- a/src/lab/stand_in.cpp
+++ b/src/lab/stand_in.cpp
@@ -14,13 +14,13 @@
   media::Reader reader;
   std::string director;
   bool dead = false;
-  bool toldDraining = false;
-  std::vector<media::Message> held;  // while it hangs
+  bool drainNoticeSent = false;
+  std::vector<media::Message> heldMessages;  // while it hangs
 };
 
 namespace {
 
-int titleOf(const std::string& title) { return std::atoi(title.c_str() + 1); }  // "t17"
+int titleIndex(const std::string& title) { return std::atoi(title.c_str() + 1); }  // "t17"
 
 std::string directorOf(std::string_view agent) {
   const std::size_t open = agent.find('('), close = agent.find(')');
@@ -31,19 +31,21 @@
 
 }  // namespace
 
-StandIn::StandIn(Stage& stage, NodeId number, int inCell, std::string inZone, bool isCold, std::uint64_t seed)
+StandIn::StandIn(LabContext& context, NodeId number, int inCell, std::string inZone, bool isCold,
+                 std::uint64_t seed)
     : node(number),
       cell(inCell),
       zone(std::move(inZone)),
       startedWall(net::wallNow()),
       coldStart(isCold),
-      stage_(stage),
+      context_(context),
       chance_(seed, 1000 + number) {
-  listener_ = net::listenOn(stage.base, "127.0.0.1", 0, onAccept, this);
+  listener_ = net::listenOn(context.base, "127.0.0.1", 0, onAccept, this);
   port_ = net::portOf(listener_.get());
-  startedAt_ = stage.now();
-  stage.world->addNode(node, cell, startedAt_, coldStart);
-  stage.record->starts.push_back({node, startedAt_, stage.day->deployment.terms.slotsByKind[0], coldStart});
+  startedAt_ = context.now();
+  context.world->addNode(node, cell, startedAt_, coldStart);
+  context.record->starts.push_back(
+      {node, startedAt_, context.day->deployment.terms.slotsByKind[0], coldStart});
 }
 StandIn::~StandIn() = default;
 
@@ -53,7 +55,7 @@
   auto connection = std::make_unique<Connection>();
   connection->owner = &self;
   connection->bufferEvent.reset(
-      bufferevent_socket_new(self.stage_.base, fd, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS));
+      bufferevent_socket_new(self.context_.base, fd, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS));
   bufferevent_setcb(connection->bufferEvent.get(), onRead, nullptr, onEvent, connection.get());
   bufferevent_enable(connection->bufferEvent.get(), EV_READ | EV_WRITE);
   self.connections_.push_back(std::move(connection));
@@ -95,7 +97,7 @@
     connection->dead = true;
     connection->bufferEvent.reset();
   }
-  stage_.world->removeNode(node);
+  context_.world->removeNode(node);
 }
 
 void StandIn::drain() {
@@ -106,8 +108,8 @@
   redirect.headers = {{"CSeq", "1"}, {"Terminate-Reason", "Server-Admin"}};
   const std::string bytes = redirect.bytes();
   for (auto& connection : connections_) {
-    if (connection->dead || connection->toldDraining) continue;
-    connection->toldDraining = true;
+    if (connection->dead || connection->drainNoticeSent) continue;
+    connection->drainNoticeSent = true;
     evbuffer_add(bufferevent_get_output(connection->bufferEvent.get()), bytes.data(), bytes.size());
   }
 }
@@ -122,7 +124,7 @@
     if (Session* session = find(connection, message)) end(*session);
   }
   if (faults.hang)
-    connection.held.push_back(message);
+    connection.heldMessages.push_back(message);
   else
     process(connection, message);
 }
@@ -131,17 +133,17 @@
   auto session = std::make_unique<Session>();
   media::Named named;
   media::readUri(message.uri, named);
-  const auto& rooms = stage_.day->deployment.roomTypes;
+  const auto& rooms = context_.day->deployment.roomTypes;
   const auto room = std::find(rooms.begin(), rooms.end(), named.roomType);
   session->connection = &connection;
   session->pipelined = message.header("Pipelined-Requests");
   session->viewer = media::unescaped(message.header("Lupinsill-Viewer"));
-  session->title = titleOf(named.title);
+  session->title = titleIndex(named.title);
   session->roomType = room == rooms.end() ? 0 : static_cast<int>(room - rooms.begin());
   session->rung = named.rung;
   session->setUpCseq = message.cseq();
   if (connection.director.empty()) connection.director = directorOf(message.header("User-Agent"));
-  const Micros now = stage_.now();
+  const Micros now = context_.now();
   audit::SetUpSeen seen;
   seen.at = now;
   seen.node = node;
@@ -152,26 +154,27 @@
   seen.title = named.title;
   seen.roomType = session->roomType;
   seen.rung = session->rung;
-  session->seen = stage_.record->setUps.size();
-  stage_.record->setUps.push_back(std::move(seen));
-  stage_.record->rungs.push_back({now, session->roomType, session->rung});
+  session->seen = context_.record->setUps.size();
+  context_.record->setUps.push_back(std::move(seen));
+  context_.record->rungs.push_back({now, session->roomType, session->rung});
   sessions_.push_back(std::move(session));
-  if (fallsOver(now)) {
-    fallen_ = true;
-    stage_.record->nodesFallen.push_back("node " + std::to_string(node) + " at " +
-                                         std::to_string(now / 1000) + " ms");
+  if (exceedsColdCapacity(now)) {
+    overloaded_ = true;
+    context_.record->nodesFallen.push_back("node " + std::to_string(node) + " at " +
+                                           std::to_string(now / 1000) + " ms");
     kill();
   }
 }
 
-bool StandIn::fallsOver(Micros now) {
-  const ControlSettings& t = stage_.day->deployment.terms;
+bool StandIn::exceedsColdCapacity(Micros now) {
+  const ControlSettings& t = context_.day->deployment.terms;
   if (!coldStart || now - startedAt_ > t.coldTime) return false;
-  std::erase_if(coldSeen_, [&](Micros at) { return at <= now - t.fallTime; });
-  coldSeen_.push_back(now);
-  const double bears = t.slotsByKind[0] * stage_.world->warmth(node, now) * static_cast<double>(t.fallTime) /
-                       static_cast<double>(t.coldTime) * t.overloadFactor;
-  return static_cast<double>(coldSeen_.size()) > bears + 2;
+  std::erase_if(recentSetUps_, [&](Micros at) { return at <= now - t.fallTime; });
+  recentSetUps_.push_back(now);
+  const double capacity = t.slotsByKind[0] * context_.world->warmth(node, now) *
+                          static_cast<double>(t.fallTime) / static_cast<double>(t.coldTime) *
+                          t.overloadFactor;
+  return static_cast<double>(recentSetUps_.size()) > capacity + 2;
 }
 
 StandIn::Session* StandIn::find(const Connection& connection, const media::Message& message) {
@@ -199,8 +202,8 @@
     const std::size_t at = message.body.find("rung:");
     if (at != std::string::npos) {
       session->rung = std::atoi(message.body.c_str() + at + 5);
-      stage_.record->rungs.push_back({stage_.now(), session->roomType, session->rung});
-      if (session->stream != 0) stage_.world->setRung(session->stream, session->rung);
+      context_.record->rungs.push_back({context_.now(), session->roomType, session->rung});
+      if (session->stream != 0) context_.world->setRung(session->stream, session->rung);
     }
     return answer(connection, 200, message.cseq(), session->id, true);
   }
@@ -208,35 +211,36 @@
 }
 
 void StandIn::startSetUp(Session& session) {
-  audit::SetUpSeen& seen = stage_.record->setUps[session.seen];
-  const ControlSettings& t = stage_.day->deployment.terms;
+  audit::SetUpSeen& seen = context_.record->setUps[session.seen];
+  const ControlSettings& t = context_.day->deployment.terms;
   int status = 0;
   if (faults.draining) status = 503;
-  if (status == 0 && stage_.world->streams(node) >= static_cast<std::size_t>(t.slotsByKind[0])) status = 453;
-  if (status == 0 && t.refusalThreshold > 0 && stage_.world->load(node, 0).link >= t.refusalThreshold)
+  if (status == 0 && context_.world->streams(node) >= static_cast<std::size_t>(t.slotsByKind[0]))
     status = 453;
-  if (status == 0 && chance_.comes(faults.fail)) status = 500;
+  if (status == 0 && t.refusalThreshold > 0 && context_.world->load(node, 0).link >= t.refusalThreshold)
+    status = 453;
+  if (status == 0 && chance_.comes(faults.failShare)) status = 500;
   if (status != 0) {
-    if (status != 500) seen.refusedAt = stage_.now();
-    seen.answeredAt = stage_.now();
+    if (status != 500) seen.refusedAt = context_.now();
+    seen.answeredAt = context_.now();
     answer(*session.connection, status, session.setUpCseq, "", true);
     return end(session);
   }
-  Micros takes = chance_.span(stage_.day->setUpLeast, stage_.day->setUpMost);
-  if (chance_.comes(faults.slow)) takes *= 20;
-  session.runAt = stage_.now() + takes;
+  Micros setUpTime = chance_.span(context_.day->minSetUpTime, context_.day->maxSetUpTime);
+  if (chance_.comes(faults.slowShare)) setUpTime *= 20;
+  session.streamStartsAt = context_.now() + setUpTime;
 }
 
-void StandIn::runIt(Session& session) {
-  const Micros now = stage_.now();
-  audit::SetUpSeen& seen = stage_.record->setUps[session.seen];
-  session.ran = true;
+void StandIn::startStream(Session& session) {
+  const Micros now = context_.now();
+  audit::SetUpSeen& seen = context_.record->setUps[session.seen];
+  session.started = true;
   seen.ranAt = now;
   session.id = std::to_string(node) + "-" + std::to_string(++nextSession_);
-  session.until = now + stage_.lengthLeft(session.viewer);
+  session.endsAt = now + context_.remainingLength(session.viewer);
   session.stream =
-      stage_.world->play(node, std::atoi(session.viewer.c_str() + 1), session.roomType, session.rung,
-                         session.title, stage_.inTime(session.viewer, session.roomType));
+      context_.world->play(node, std::atoi(session.viewer.c_str() + 1), session.roomType, session.rung,
+                           session.title, context_.metJoinObjective(session.viewer, session.roomType));
   if (faults.loseAnswers) return;
   seen.answeredAt = now;
   answer(*session.connection, 200, session.setUpCseq, session.id, true);
@@ -246,16 +250,16 @@
 void StandIn::end(Session& session) {
   if (session.ended) return;
   session.ended = true;
-  stage_.record->setUps[session.seen].endedAt = stage_.now();
-  if (session.stream != 0) stage_.world->stop(session.stream);
+  context_.record->setUps[session.seen].endedAt = context_.now();
+  if (session.stream != 0) context_.world->stop(session.stream);
 }
 
 LoadReport StandIn::report(Micros late) const {
-  const model::NodeLoad load = stage_.world->load(node, late + stage_.laterBy);
-  LoadReport told;
-  told.linkUse = load.link;
-  if (stage_.day->deployment.terms.uplinksReported) told.uplinkUse = load.uplink;
-  return told;
+  const model::NodeLoad load = context_.world->load(node, late + context_.extraReportDelay);
+  LoadReport loadReport;
+  loadReport.linkUse = load.link;
+  if (context_.day->deployment.terms.uplinksReported) loadReport.uplinkUse = load.uplink;
+  return loadReport;
 }
 
 void StandIn::answer(Connection& connection, int status, long long cseq, const std::string& session,
@@ -270,7 +274,7 @@
   evbuffer_add(bufferevent_get_output(connection.bufferEvent.get()), bytes.data(), bytes.size());
 }
 
-void StandIn::notify(Session& session, const char* reason, const LoadReport& told,
+void StandIn::notify(Session& session, const char* reason, const LoadReport& loadReport,
                      std::optional<double> delivered) {
   Connection& connection = *session.connection;
   if (connection.dead || faults.loseAnswers || faults.hang) return;
@@ -280,51 +284,53 @@
   message.headers = {{"CSeq", "1"},
                      {"Session", session.id},
                      {"Notify-Reason", reason},
-                     {"Endpoint-Load-Metrics", media::orcaOf(told, delivered)}};
+                     {"Endpoint-Load-Metrics", media::orcaOf(loadReport, delivered)}};
   const std::string bytes = message.bytes();
   evbuffer_add(bufferevent_get_output(connection.bufferEvent.get()), bytes.data(), bytes.size());
 }
 
-void StandIn::notes(Micros now) {
-  const ControlSettings& t = stage_.day->deployment.terms;
-  const bool second = now - notedAt_ >= 1'000'000;
-  const bool full = t.reportInterval > 0 && now - reportedAt_ >= t.reportInterval;
-  if (!second && !full) return;
-  const double delivered = stage_.world->load(node, t.seenAfter + stage_.laterBy).delivered;
-  const bool shortNow = delivered < 0.98;
+void StandIn::sendMeasurements(Micros now) {
+  const ControlSettings& t = context_.day->deployment.terms;
+  const bool measurementDue = now - measuredAt_ >= 1'000'000;
+  const bool reportDue = t.reportInterval > 0 && now - reportedAt_ >= t.reportInterval;
+  if (!measurementDue && !reportDue) return;
+  const double delivered = context_.world->load(node, t.seenAfter + context_.extraReportDelay).delivered;
+  const bool underDelivering = delivered < 0.98;
   for (auto& connection : connections_) {
     if (connection->dead) continue;
     const auto plays = std::find_if(sessions_.begin(), sessions_.end(), [&](const auto& s) {
-      return s->connection == connection.get() && s->ran && !s->ended;
+      return s->connection == connection.get() && s->started && !s->ended;
     });
     if (plays == sessions_.end()) continue;
-    if (second && (shortNow || wasShort_)) notify(**plays, "media-properties-update", {}, delivered);
-    if (full) notify(**plays, "media-properties-update", report(t.seenAfter), std::nullopt);
+    if (measurementDue && (underDelivering || wasUnderDelivering_))
+      notify(**plays, "media-properties-update", {}, delivered);
+    if (reportDue) notify(**plays, "media-properties-update", report(t.seenAfter), std::nullopt);
   }
-  if (second) notedAt_ = now, wasShort_ = shortNow;
-  if (full) reportedAt_ = now;
+  if (measurementDue) measuredAt_ = now, wasUnderDelivering_ = underDelivering;
+  if (reportDue) reportedAt_ = now;
 }
 
 void StandIn::tick() {
   if (dead_) return;
-  const Micros now = stage_.now();
+  const Micros now = context_.now();
   if (!faults.hang) {
     for (std::size_t i = 0; i < connections_.size(); ++i) {
       Connection& connection = *connections_[i];
-      const std::vector<media::Message> held = std::move(connection.held);
-      connection.held.clear();
+      const std::vector<media::Message> held = std::move(connection.heldMessages);
+      connection.heldMessages.clear();
       for (const media::Message& message : held) process(connection, message);
     }
     for (std::size_t i = 0; i < sessions_.size(); ++i) {
       Session& session = *sessions_[i];
       if (session.ended) continue;
-      if (!session.ran && session.runAt != 0 && now >= session.runAt) runIt(session);
-      if (session.ran && now >= session.until) {
+      if (!session.started && session.streamStartsAt != 0 && now >= session.streamStartsAt)
+        startStream(session);
+      if (session.started && now >= session.endsAt) {
         notify(session, "end-of-stream", report(0), std::nullopt);
         end(session);
       }
     }
-    notes(now);
+    sendMeasurements(now);
   }
   std::erase_if(sessions_, [](const auto& s) { return s->ended; });
   std::erase_if(connections_, [](const auto& c) { return c->dead; });
--- a/src/lab/stand_in.h
+++ b/src/lab/stand_in.h
@@ -19,34 +19,35 @@
 struct Faults {
   bool hang = false;         // reads, answers nothing, delivers nothing
   bool loseAnswers = false;  // sets up and plays, tells nobody
-  double fail = 0;           // share of set-ups that fail at once
-  double slow = 0;           // share of set-ups that take twenty times as long
+  double failShare = 0;      // share of set-ups that fail at once
+  double slowShare = 0;      // share of set-ups that take twenty times as long
   bool draining = false;     // answers 503, and has told its directors by REDIRECT
 };
 
 // What stand-ins share.
-struct Stage {
+struct LabContext {
   event_base* base = nullptr;
   const Day* day = nullptr;
   model::World* world = nullptr;
   audit::Record* record = nullptr;
-  Micros zero = 0;     // the day's start on the monotonic clock
-  Micros laterBy = 0;  // notes and reports, while they come late
-  std::function<Micros(const std::string& viewer)> lengthLeft;
-  std::function<bool(const std::string& viewer, int roomType)> inTime;  // its join met the objective
-  Micros now() const { return net::monotonicNow() - zero; }
+  Micros dayStart = 0;          // the day's start on the monotonic clock
+  Micros extraReportDelay = 0;  // notes and reports, while they come late
+  std::function<Micros(const std::string& viewer)> remainingLength;
+  std::function<bool(const std::string& viewer, int roomType)>
+      metJoinObjective;  // its join met the objective
+  Micros now() const { return net::monotonicNow() - dayStart; }
 };
 
 class StandIn {
  public:
-  StandIn(Stage& stage, NodeId node, int cell, std::string zone, bool coldStart, std::uint64_t seed);
+  StandIn(LabContext& context, NodeId node, int cell, std::string zone, bool coldStart, std::uint64_t seed);
   ~StandIn();
 
   void tick();  // every few milliseconds
   void kill();  // closes everything at once; it takes no more part
   void drain();
   bool dead() const { return dead_; }
-  bool fallen() const { return fallen_; }
+  bool overloaded() const { return overloaded_; }
   int port() const { return port_; }
 
   const NodeId node;
@@ -68,9 +69,9 @@
     int roomType = 0;
     int rung = 0;
     long long setUpCseq = 0, playCseq = -1;
-    Micros runAt = 0;
-    Micros until = 0;
-    bool ran = false;
+    Micros streamStartsAt = 0;
+    Micros endsAt = 0;
+    bool started = false;
     bool ended = false;
     model::Stream stream = 0;
   };
@@ -81,30 +82,30 @@
   void process(Connection& connection, const media::Message& message);
   void setUp(Connection& connection, const media::Message& message);
   void startSetUp(Session& session);
-  void runIt(Session& session);
+  void startStream(Session& session);
   void end(Session& session);
   void drop(Connection& connection);
   Session* find(const Connection& connection, const media::Message& message);
   void answer(Connection& connection, int status, long long cseq, const std::string& session, bool load);
   void notify(Session& session, const char* reason, const LoadReport& report,
               std::optional<double> delivered);
-  void notes(Micros now);
-  bool fallsOver(Micros now);
+  void sendMeasurements(Micros now);
+  bool exceedsColdCapacity(Micros now);
   LoadReport report(Micros late) const;
 
-  Stage& stage_;
+  LabContext& context_;
   model::Chance chance_;
   net::Listener listener_;
   int port_ = 0;
   bool dead_ = false;
-  bool fallen_ = false;
+  bool overloaded_ = false;
   Micros startedAt_ = 0;
-  Micros notedAt_ = 0, reportedAt_ = 0;
-  bool wasShort_ = false;
+  Micros measuredAt_ = 0, reportedAt_ = 0;
+  bool wasUnderDelivering_ = false;
   std::uint64_t nextSession_ = 0;
   std::vector<std::unique_ptr<Connection>> connections_;
   std::vector<std::unique_ptr<Session>> sessions_;
-  std::vector<Micros> coldSeen_;
+  std::vector<Micros> recentSetUps_;
 };
 
 }  // namespace lupinsill::lab
