--- a/src/lab/day.cpp
+++ b/src/lab/day.cpp
@@ -11,12 +11,19 @@
 namespace lupinsill::lab {
 namespace {
 
+// In the order of FaultKind.
 constexpr std::array faultKindNames{"answers-lost", "hang",          "fast-errors",   "slow",
                                     "link-cut",     "uplink-cut",    "drain",         "kill",
                                     "wave",         "list-stale",    "reports-late",  "crowd",
                                     "burst",        "director-kill", "director-roll", "director-stop",
                                     "closers",      "repeats",       "mute",          "garbage"};
 
+// Zipf exponent of title popularity.
+constexpr double titlePopularityExponent = 0.9;
+// Share of viewers whose highest rung is `reducedTopSteps` below that of the room type.
+constexpr double reducedTopShare = 0.25;
+constexpr int reducedTopSteps = 2;
+
 Micros parseDuration(const settings::Element& e, const char* name) {
   return settings::durationOf(e.text(name));
 }
@@ -76,9 +83,10 @@
 
 std::vector<Arrival> drawArrivals(const Day& day, std::uint64_t seed) {
   Chance chance(seed, 1);
-  std::vector<double> titleWeight;
+  std::vector<double> cumulativeWeights;
   double totalWeight = 0;
-  for (int t = 0; t < day.titles; ++t) titleWeight.push_back(totalWeight += 1.0 / std::pow(t + 1, 0.9));
+  for (int t = 0; t < day.titles; ++t)
+    cumulativeWeights.push_back(totalWeight += 1.0 / std::pow(t + 1, titlePopularityExponent));
   std::vector<Arrival> arrivals;
   const auto draw = [&](Micros at) {
     Arrival a;
@@ -95,24 +103,26 @@
     a.roomType = room->roomType;
     a.length = chance.span(room->minLength, room->maxLength);
     const double position = chance.unit() * totalWeight;
-    a.title = static_cast<int>(std::lower_bound(titleWeight.begin(), titleWeight.end(), position) -
-                               titleWeight.begin());
+    a.title =
+        static_cast<int>(std::lower_bound(cumulativeWeights.begin(), cumulativeWeights.end(), position) -
+                         cumulativeWeights.begin());
     const int top = day.deployment.terms.roomTypes[static_cast<std::size_t>(a.roomType)].top;
-    a.top = chance.comes(0.25) ? std::max(0, top - 2) : top;
+    a.top = chance.comes(reducedTopShare) ? std::max(0, top - reducedTopSteps) : top;
     a.zone = static_cast<int>(chance.below(static_cast<std::size_t>(day.zones)));
     return a;
   };
   for (int i = 0; i < day.requests; ++i)
     arrivals.push_back(draw(static_cast<Micros>(chance.unit() * static_cast<double>(day.length))));
-  for (const ScheduledFault& t : day.faults) {
-    if (t.kind != FaultKind::burst && t.kind != FaultKind::crowd) continue;
-    const double usualCount =
-        static_cast<double>(day.requests) * static_cast<double>(t.duration) / static_cast<double>(day.length);
-    const auto extra = static_cast<int>(usualCount * t.magnitude);
+  for (const ScheduledFault& fault : day.faults) {
+    if (fault.kind != FaultKind::burst && fault.kind != FaultKind::crowd) continue;
+    const double usualCount = static_cast<double>(day.requests) * static_cast<double>(fault.duration) /
+                              static_cast<double>(day.length);
+    const auto extra = static_cast<int>(usualCount * fault.magnitude);
     const int popularTitle = static_cast<int>(chance.below(static_cast<std::size_t>(day.titles)));
     for (int i = 0; i < extra; ++i) {
-      arrivals.push_back(draw(t.at + static_cast<Micros>(chance.unit() * static_cast<double>(t.duration))));
-      if (t.kind == FaultKind::crowd) arrivals.back().title = popularTitle;
+      arrivals.push_back(
+          draw(fault.at + static_cast<Micros>(chance.unit() * static_cast<double>(fault.duration))));
+      if (fault.kind == FaultKind::crowd) arrivals.back().title = popularTitle;
     }
   }
   std::stable_sort(arrivals.begin(), arrivals.end(),
@@ -120,18 +130,18 @@
   int viewer = 0;
   for (Arrival& a : arrivals) {
     a.viewer = ++viewer;
-    for (const ScheduledFault& t : day.faults) {
-      if (a.at < t.at || a.at >= t.at + t.duration) continue;
+    for (const ScheduledFault& fault : day.faults) {
+      if (a.at < fault.at || a.at >= fault.at + fault.duration) continue;
       const bool nonRepeatable =
           day.deployment.terms.roomTypes[static_cast<std::size_t>(a.roomType)].effect != Effect::repeatable;
-      const ClientBehaviour behaviour = t.kind == FaultKind::closers && nonRepeatable
-                                            ? ClientBehaviour::disconnects
-                                        : t.kind == FaultKind::repeats ? ClientBehaviour::duplicatesRequest
-                                        : t.kind == FaultKind::mute    ? ClientBehaviour::neverReads
-                                        : t.kind == FaultKind::garbage ? ClientBehaviour::sendsGarbage
-                                                                       : ClientBehaviour::normal;
+      const ClientBehaviour behaviour =
+          fault.kind == FaultKind::closers && nonRepeatable ? ClientBehaviour::disconnects
+          : fault.kind == FaultKind::repeats                ? ClientBehaviour::duplicatesRequest
+          : fault.kind == FaultKind::mute                   ? ClientBehaviour::neverReads
+          : fault.kind == FaultKind::garbage                ? ClientBehaviour::sendsGarbage
+                                                            : ClientBehaviour::normal;
       if (behaviour != ClientBehaviour::normal && a.behaviour == ClientBehaviour::normal &&
-          chance.comes(t.share))
+          chance.comes(fault.share))
         a.behaviour = behaviour;
     }
   }
--- a/src/lab/stand_in.cpp
+++ b/src/lab/stand_in.cpp
@@ -15,13 +15,21 @@
   std::string director;
   bool dead = false;
   bool drainNoticeSent = false;
-  std::vector<media::Message> heldMessages;  // while it hangs
+  std::vector<media::Message> heldMessages;  // received while the node hangs
 };
 
 namespace {
 
-int titleIndex(const std::string& title) { return std::atoi(title.c_str() + 1); }  // "t17"
+constexpr Micros measurementInterval = 1'000'000;  // of the delivered share
+constexpr Micros answerLoadAge = 300'000;          // age of the load that an answer reports
+constexpr double fullDelivery = 0.98;              // a lower delivered share is reported
+constexpr int setUpAllowance = 2;                  // set-ups that a cold node bears over its capacity
+constexpr Micros slowSetUpFactor = 20;
 
+// Titles are named "t0", "t1" and so on.
+int titleIndex(const std::string& title) { return std::atoi(title.c_str() + 1); }
+
+// The director's instance name, which stands in parentheses in its User-Agent.
 std::string directorOf(std::string_view agent) {
   const std::size_t open = agent.find('('), close = agent.find(')');
   return open == std::string_view::npos || close == std::string_view::npos
@@ -114,7 +122,8 @@
   }
 }
 
-// What is seen is recorded as it is read, also while the node hangs: its process stands still, not the wire.
+// Requests are recorded as soon as they are read, also while the node hangs: a hanging process stops
+// answering, but its socket still receives.
 void StandIn::receive(Connection& connection, const media::Message& message) {
   if (!message.isRequest()) return;
   if (message.method == "SETUP") {
@@ -154,7 +163,7 @@
   seen.title = named.title;
   seen.roomType = session->roomType;
   seen.rung = session->rung;
-  session->seen = context_.record->setUps.size();
+  session->recordIndex = context_.record->setUps.size();
   context_.record->setUps.push_back(std::move(seen));
   context_.record->rungs.push_back({now, session->roomType, session->rung});
   sessions_.push_back(std::move(session));
@@ -166,15 +175,16 @@
   }
 }
 
+// Whether more set-ups arrived within the fall time than a cold node can handle at its present warmth.
 bool StandIn::exceedsColdCapacity(Micros now) {
-  const ControlSettings& t = context_.day->deployment.terms;
-  if (!coldStart || now - startedAt_ > t.coldTime) return false;
-  std::erase_if(recentSetUps_, [&](Micros at) { return at <= now - t.fallTime; });
+  const ControlSettings& terms = context_.day->deployment.terms;
+  if (!coldStart || now - startedAt_ > terms.coldTime) return false;
+  std::erase_if(recentSetUps_, [&](Micros at) { return at <= now - terms.fallTime; });
   recentSetUps_.push_back(now);
-  const double capacity = t.slotsByKind[0] * context_.world->warmth(node, now) *
-                          static_cast<double>(t.fallTime) / static_cast<double>(t.coldTime) *
-                          t.overloadFactor;
-  return static_cast<double>(recentSetUps_.size()) > capacity + 2;
+  const double capacity = terms.slotsByKind[0] * context_.world->warmth(node, now) *
+                          static_cast<double>(terms.fallTime) / static_cast<double>(terms.coldTime) *
+                          terms.overloadFactor;
+  return static_cast<double>(recentSetUps_.size()) > capacity + setUpAllowance;
 }
 
 StandIn::Session* StandIn::find(const Connection& connection, const media::Message& message) {
@@ -211,13 +221,14 @@
 }
 
 void StandIn::startSetUp(Session& session) {
-  audit::SetUpSeen& seen = context_.record->setUps[session.seen];
-  const ControlSettings& t = context_.day->deployment.terms;
+  audit::SetUpSeen& seen = context_.record->setUps[session.recordIndex];
+  const ControlSettings& terms = context_.day->deployment.terms;
   int status = 0;
   if (faults.draining) status = 503;
-  if (status == 0 && context_.world->streams(node) >= static_cast<std::size_t>(t.slotsByKind[0]))
+  if (status == 0 && context_.world->streams(node) >= static_cast<std::size_t>(terms.slotsByKind[0]))
     status = 453;
-  if (status == 0 && t.refusalThreshold > 0 && context_.world->load(node, 0).link >= t.refusalThreshold)
+  if (status == 0 && terms.refusalThreshold > 0 &&
+      context_.world->load(node, 0).link >= terms.refusalThreshold)
     status = 453;
   if (status == 0 && chance_.comes(faults.failShare)) status = 500;
   if (status != 0) {
@@ -227,13 +238,13 @@
     return end(session);
   }
   Micros setUpTime = chance_.span(context_.day->minSetUpTime, context_.day->maxSetUpTime);
-  if (chance_.comes(faults.slowShare)) setUpTime *= 20;
+  if (chance_.comes(faults.slowShare)) setUpTime *= slowSetUpFactor;
   session.streamStartsAt = context_.now() + setUpTime;
 }
 
 void StandIn::startStream(Session& session) {
   const Micros now = context_.now();
-  audit::SetUpSeen& seen = context_.record->setUps[session.seen];
+  audit::SetUpSeen& seen = context_.record->setUps[session.recordIndex];
   session.started = true;
   seen.ranAt = now;
   session.id = std::to_string(node) + "-" + std::to_string(++nextSession_);
@@ -250,7 +261,7 @@
 void StandIn::end(Session& session) {
   if (session.ended) return;
   session.ended = true;
-  context_.record->setUps[session.seen].endedAt = context_.now();
+  context_.record->setUps[session.recordIndex].endedAt = context_.now();
   if (session.stream != 0) context_.world->stop(session.stream);
 }
 
@@ -269,7 +280,7 @@
   reply.status = status;
   reply.headers.emplace_back("CSeq", std::to_string(cseq));
   if (!session.empty()) reply.headers.emplace_back("Session", session + ";timeout=60");
-  if (load) reply.headers.emplace_back("Endpoint-Load-Metrics", media::orcaOf(report(300'000)));
+  if (load) reply.headers.emplace_back("Endpoint-Load-Metrics", media::orcaOf(report(answerLoadAge)));
   const std::string bytes = reply.bytes();
   evbuffer_add(bufferevent_get_output(connection.bufferEvent.get()), bytes.data(), bytes.size());
 }
@@ -290,21 +301,21 @@
 }
 
 void StandIn::sendMeasurements(Micros now) {
-  const ControlSettings& t = context_.day->deployment.terms;
-  const bool measurementDue = now - measuredAt_ >= 1'000'000;
-  const bool reportDue = t.reportInterval > 0 && now - reportedAt_ >= t.reportInterval;
+  const ControlSettings& terms = context_.day->deployment.terms;
+  const bool measurementDue = now - measuredAt_ >= measurementInterval;
+  const bool reportDue = terms.reportInterval > 0 && now - reportedAt_ >= terms.reportInterval;
   if (!measurementDue && !reportDue) return;
-  const double delivered = context_.world->load(node, t.seenAfter + context_.extraReportDelay).delivered;
-  const bool underDelivering = delivered < 0.98;
+  const double delivered = context_.world->load(node, terms.seenAfter + context_.extraReportDelay).delivered;
+  const bool underDelivering = delivered < fullDelivery;
   for (auto& connection : connections_) {
     if (connection->dead) continue;
-    const auto plays = std::find_if(sessions_.begin(), sessions_.end(), [&](const auto& s) {
+    const auto playing = std::find_if(sessions_.begin(), sessions_.end(), [&](const auto& s) {
       return s->connection == connection.get() && s->started && !s->ended;
     });
-    if (plays == sessions_.end()) continue;
+    if (playing == sessions_.end()) continue;
     if (measurementDue && (underDelivering || wasUnderDelivering_))
-      notify(**plays, "media-properties-update", {}, delivered);
-    if (reportDue) notify(**plays, "media-properties-update", report(t.seenAfter), std::nullopt);
+      notify(**playing, "media-properties-update", {}, delivered);
+    if (reportDue) notify(**playing, "media-properties-update", report(terms.seenAfter), std::nullopt);
   }
   if (measurementDue) measuredAt_ = now, wasUnderDelivering_ = underDelivering;
   if (reportDue) reportedAt_ = now;
--- a/src/lab/stand_in.h
+++ b/src/lab/stand_in.h
@@ -1,5 +1,6 @@
-// A stand-in media node: a real listener that speaks RTSP 2.0 as docs/design/director.md has it, sets up and
-// plays in the lab's world, and can be made to fail. It records what reaches it. One process holds them all.
+// A stub media node: a test double that listens on a real socket, speaks RTSP 2.0 as media nodes do
+// (docs/design/director.md), plays streams in the simulated link model (model/world.h), and can be made to
+// fail. It records the requests that reach it. All nodes run in the lab's process, on one event loop.
 #pragma once
 
 #include <functional>
@@ -16,61 +17,69 @@
 
 namespace lupinsill::lab {
 
+// The faults that a node currently shows.
 struct Faults {
-  bool hang = false;         // reads, answers nothing, delivers nothing
-  bool loseAnswers = false;  // sets up and plays, tells nobody
-  double failShare = 0;      // share of set-ups that fail at once
-  double slowShare = 0;      // share of set-ups that take twenty times as long
-  bool draining = false;     // answers 503, and has told its directors by REDIRECT
+  bool hang = false;         // reads requests, but answers and delivers nothing
+  bool loseAnswers = false;  // sets up and plays streams, but sends no answers
+  double failShare = 0;      // of set-ups that fail at once with status 500
+  double slowShare = 0;      // of set-ups that take slowSetUpFactor times as long
+  bool draining = false;     // answers 503 and has announced it to the directors by REDIRECT
 };
 
-// What stand-ins share.
+// State that the nodes and the scripted players of one run share.
 struct LabContext {
   event_base* base = nullptr;
   const Day* day = nullptr;
   model::World* world = nullptr;
   audit::Record* record = nullptr;
-  Micros dayStart = 0;          // the day's start on the monotonic clock
-  Micros extraReportDelay = 0;  // notes and reports, while they come late
+  Micros dayStart = 0;          // start of the day on the monotonic clock
+  Micros extraReportDelay = 0;  // additional age of reported load while reports are late
+  // How long the viewer's stream is still to play.
   std::function<Micros(const std::string& viewer)> remainingLength;
-  std::function<bool(const std::string& viewer, int roomType)>
-      metJoinObjective;  // its join met the objective
+  // Whether a join that completes now is within the join objective.
+  std::function<bool(const std::string& viewer, int roomType)> metJoinObjective;
+  // Time since the start of the day.
   Micros now() const { return net::monotonicNow() - dayStart; }
 };
 
+// One stub media node.
 class StandIn {
  public:
   StandIn(LabContext& context, NodeId node, int cell, std::string zone, bool coldStart, std::uint64_t seed);
   ~StandIn();
 
-  void tick();  // every few milliseconds
-  void kill();  // closes everything at once; it takes no more part
+  // Advances set-ups and streams and sends due measurements; call it every few milliseconds.
+  void tick();
+  // Closes the listener and all connections at once. The node stays dead.
+  void kill();
+  // Refuses set-ups from now on and sends REDIRECT on every connection.
   void drain();
   bool dead() const { return dead_; }
+  // Whether the node died because more set-ups arrived than it could handle while cold.
   bool overloaded() const { return overloaded_; }
   int port() const { return port_; }
 
   const NodeId node;
   const int cell;
   const std::string zone;
-  const Micros startedWall;  // UTC
+  const Micros startedWall;  // UTC, wall clock
   const bool coldStart;
   Faults faults;
 
  private:
   struct Connection;
   struct Session {
-    std::size_t seen = 0;  // in the record
+    std::size_t recordIndex = 0;  // of its entry in the record's set-ups
     Connection* connection = nullptr;
-    std::string pipelined;
+    std::string pipelined;  // value of Pipelined-Requests, which names the session before it has an id
     std::string id;
     std::string viewer;
     int title = 0;
     int roomType = 0;
     int rung = 0;
     long long setUpCseq = 0, playCseq = -1;
-    Micros streamStartsAt = 0;
-    Micros endsAt = 0;
+    Micros streamStartsAt = 0;  // 0: set-up not begun
+    Micros endsAt = 0;          // end of the stream
     bool started = false;
     bool ended = false;
     model::Stream stream = 0;
