--- a/src/lab/players.cpp
+++ b/src/lab/players.cpp
@@ -5,11 +5,22 @@
 
 namespace lupinsill::lab {
 namespace {
-constexpr Micros reconnectDelay = 300'000;  // after a director that cannot be reached
+
+constexpr Micros reconnectDelay = 300'000;  // after a director could not be reached
+constexpr Micros connectTimeout = 2'000'000;
+// From a request to the disconnection of a client that disconnects on purpose.
 constexpr Micros minDisconnectDelay = 3'000, maxDisconnectDelay = 25'000;
+// From a lost connection to the repeat of the request.
 constexpr Micros minReturnDelay = 50'000, maxReturnDelay = 600'000;
-constexpr Micros lateAnswerWait =
-    400'000;  // over the client timeout and its slack, to see answers that come late
+// Kept open beyond the client timeout and the answer slack, so that late answers are recorded.
+constexpr Micros lateAnswerWait = 400'000;
+constexpr Micros garbageTimeout = 3'000'000;    // for the director to close after malformed bytes
+constexpr Micros endWait = 2'000'000;           // for the director to announce the end of a stream
+constexpr Micros minRemainingLength = 500'000;  // a viewer with less left makes no new attempt
+constexpr Micros minStreamLength = 200'000;
+constexpr Micros unknownViewerLength = 1'000'000;
+constexpr Micros minRequestedLength = 1'000;
+
 }  // namespace
 
 struct PlayerPool::Player final : websocket::Channel::Handler {
@@ -18,16 +29,16 @@
   Arrival arrival;
   State state = State::waiting;
   Micros wakeAt = 0;
-  Micros endsAt = 0;  // of its wish to watch
+  Micros endsAt = 0;  // when the viewer stops watching
   Micros requestedAt = 0;
   int attempts = 0;
   int directorIndex = -1, run = 0;
-  bool firstRequest = true;     // the very first ask has not been sent
-  bool repeatsRequest = false;  // a closer, with the same key
+  bool firstRequest = true;     // the first request has not been sent
+  bool repeatsRequest = false;  // the next request repeats the last one, with the same idempotency key
   bool disconnectNext = false;
   std::string idempotencyKey;
-  std::size_t requestRecord = 0;  // its ask in the record
-  std::size_t repeatRecord = 0;
+  std::size_t requestRecord = 0;  // index of the current request in the record
+  std::size_t repeatRecord = 0;   // of its repeat on the same socket; otherwise equal to requestRecord
   std::unique_ptr<websocket::Channel> channel;
 
   std::string viewer() const { return "v" + std::to_string(arrival.viewer); }
@@ -47,18 +58,19 @@
 PlayerPool::PlayerPool(LabContext& context, const Processes& processes, std::vector<Arrival> arrivals,
                        std::uint64_t seed)
     : context_(context), processes_(processes), chance_(seed, 3), arrivals_(std::move(arrivals)) {
-  const ControlSettings& t = context.day->deployment.terms;
+  const ControlSettings& terms = context.day->deployment.terms;
   for (const Arrival& a : arrivals_)
     if (a.behaviour != ClientBehaviour::neverReads && a.behaviour != ClientBehaviour::sendsGarbage)
       statistics_.offered += static_cast<double>(std::min(a.length, context.day->length - a.at)) / 1e6 *
-                             t.roomTypes[static_cast<std::size_t>(a.roomType)].benefit *
-                             t.rungBenefit[static_cast<std::size_t>(a.top)];
+                             terms.roomTypes[static_cast<std::size_t>(a.roomType)].benefit *
+                             terms.rungBenefit[static_cast<std::size_t>(a.top)];
 }
 PlayerPool::~PlayerPool() = default;
 
 Micros PlayerPool::remainingLength(const std::string& viewer) const {
   const auto it = players_.find(std::atoi(viewer.c_str() + 1));
-  return it == players_.end() ? 1'000'000 : std::max<Micros>(200'000, it->second->endsAt - context_.now());
+  return it == players_.end() ? unknownViewerLength
+                              : std::max<Micros>(minStreamLength, it->second->endsAt - context_.now());
 }
 
 bool PlayerPool::metJoinObjective(const std::string& viewer, int roomType) const {
@@ -70,14 +82,14 @@
 }
 
 void PlayerPool::connect(Player& player) {
-  std::vector<int> sameZone, all;
+  std::vector<int> sameZone, reachable;
   for (std::size_t i = 0; i < processes_.directors().size(); ++i) {
     const DirectorProcess& p = processes_.directors()[i];
     if (p.playersPort == 0) continue;
-    all.push_back(static_cast<int>(i));
+    reachable.push_back(static_cast<int>(i));
     if (p.zone == player.arrival.zone) sameZone.push_back(static_cast<int>(i));
   }
-  const std::vector<int>& candidates = sameZone.empty() ? all : sameZone;
+  const std::vector<int>& candidates = sameZone.empty() ? reachable : sameZone;
   if (!player.repeatsRequest) {
     if (candidates.empty()) {
       player.wakeAt = context_.now() + reconnectDelay;
@@ -87,7 +99,7 @@
     player.run = processes_.directors()[static_cast<std::size_t>(player.directorIndex)].run;
   }
   const DirectorProcess& director = processes_.directors()[static_cast<std::size_t>(player.directorIndex)];
-  // A paid key is known to one director only, over its restarts.
+  // Only the director that received an idempotency key knows it, also after a restart: a repeat goes there.
   if (player.repeatsRequest) {
     if (director.playersPort == 0) {
       player.wakeAt = context_.now() + reconnectDelay;
@@ -96,7 +108,7 @@
     player.run = director.run;
   }
   player.state = Player::State::connecting;
-  player.wakeAt = context_.now() + 2'000'000;
+  player.wakeAt = context_.now() + connectTimeout;
   net::BufferEvent bufferEvent = net::connectTo(context_.base, "127.0.0.1", director.playersPort);
   if (!bufferEvent) {
     player.state = Player::State::waiting;
@@ -120,7 +132,7 @@
     else
       player.channel->sendRaw(invalidBytes[player.arrival.viewer % 3]);
     player.state = Player::State::awaitingAnswer;
-    player.wakeAt = now + 3'000'000;
+    player.wakeAt = now + garbageTimeout;
     return;
   }
   if (!again)
@@ -133,7 +145,7 @@
   message.title = "t" + std::to_string(player.arrival.title);
   message.room = deployment.roomTypes[room];
   message.top = player.arrival.top;
-  message.length = std::max<Micros>(1'000, player.endsAt - now);
+  message.length = std::max<Micros>(minRequestedLength, player.endsAt - now);
   if (again) message.previousDirector = "d" + std::to_string(player.directorIndex);
   audit::AskSeen seen;
   seen.at = now;
@@ -182,7 +194,7 @@
       ++statistics_.playing;
       if (now - player.requestedAt <= objective) ++statistics_.metJoinObjective;
       player.state = Player::State::playing;
-      player.wakeAt = player.endsAt + 2'000'000;
+      player.wakeAt = player.endsAt + endWait;
       return;
     case AnswerKind::throttled:
       record(audit::AskSeen::Answer::Kind::throttled);
@@ -211,16 +223,17 @@
 
 void PlayerPool::finishOrRetry(Player& player, Micros retryAfter, bool mayRetry) {
   const Micros now = context_.now();
-  // Its second ask on the same socket goes unheard from here on.
+  // The answer to a repeat on the same socket can no longer be received.
   if (player.repeatRecord != player.requestRecord &&
       context_.record->asks[player.repeatRecord].answers.empty())
     context_.record->asks[player.repeatRecord].closedAt = now;
   player.drop();
   const Micros pause =
       std::max(retryAfter, chance_.span(context_.day->minRetryPause, context_.day->maxRetryPause));
-  const bool again = mayRetry && now + pause < std::min(player.endsAt - 500'000, context_.day->length) &&
-                     chance_.comes(context_.day->retryShare);
-  player.state = again ? Player::State::waiting : Player::State::done;
+  const bool retries = mayRetry &&
+                       now + pause < std::min(player.endsAt - minRemainingLength, context_.day->length) &&
+                       chance_.comes(context_.day->retryShare);
+  player.state = retries ? Player::State::waiting : Player::State::done;
   player.wakeAt = now + pause;
 }
 
@@ -247,7 +260,8 @@
   const bool nonRepeatable =
       context_.day->deployment.terms.roomTypes[static_cast<std::size_t>(player.arrival.roomType)].effect !=
       Effect::repeatable;
-  // An answer to a paid ask that is lost with its director is asked for again there, with the same key.
+  // The answer to a non-repeatable request was lost with the connection: repeat it at the same director with
+  // the same idempotency key.
   if (previousState == Player::State::awaitingAnswer && nonRepeatable && now < player.endsAt) {
     ++statistics_.requestsRepeated;
     player.drop();
@@ -274,7 +288,7 @@
     if (player->state == Player::State::done || now < player->wakeAt) continue;
     switch (player->state) {
       case Player::State::waiting:
-        if (now >= context_.day->length || now + 500'000 > player->endsAt) {
+        if (now >= context_.day->length || now + minRemainingLength > player->endsAt) {
           if (player->firstRequest) ++statistics_.neverConnected;
           player->state = Player::State::done;
         } else {
--- a/src/lab/players.h
+++ b/src/lab/players.h
@@ -1,5 +1,6 @@
-// Scripted players: real WebSocket clients that ask, watch, come again as the app does, and some of which do
-// not behave. They record what they sent and were told.
+// The load generator: scripted players, each a real WebSocket client that requests a subscription, watches it
+// and retries as the app does. Some misbehave (ClientBehaviour). They record the requests that they send and
+// the answers that they receive.
 #pragma once
 
 #include <map>
@@ -16,6 +17,7 @@
 
 namespace lupinsill::lab {
 
+// Counts over all players of a run. `offered` is the benefit that serving every request in full would earn.
 struct PlayerStatistics {
   std::size_t requests = 0, playing = 0, metJoinObjective = 0, throttled = 0, terminated = 0, unanswered = 0;
   std::size_t ended = 0, socketsLost = 0, neverConnected = 0, garbageClosed = 0, garbageSent = 0,
@@ -23,14 +25,19 @@
   double offered = 0;
 };
 
+// All players of a run.
 class PlayerPool {
  public:
   PlayerPool(LabContext& context, const Processes& processes, std::vector<Arrival> arrivals,
              std::uint64_t seed);
   ~PlayerPool();
+  // Starts players whose time has come and acts on expired timers.
   void tick();
-  bool done() const;  // nobody is waiting for an answer any more
+  // Whether all players have arrived and none waits for an answer or a retry.
+  bool done() const;
+  // How long the viewer is still to watch.
   Micros remainingLength(const std::string& viewer) const;
+  // Whether the viewer's current request is still within the join objective of the room type.
   bool metJoinObjective(const std::string& viewer, int roomType) const;
   const PlayerStatistics& statistics() const { return statistics_; }
 
--- a/src/lab/processes.cpp
+++ b/src/lab/processes.cpp
@@ -23,6 +23,16 @@
 namespace lupinsill::lab {
 namespace {
 
+// Exit codes of a child whose set-up failed before the program was executed, and whose program could not be
+// executed.
+constexpr int setUpFailedExit = 9;
+constexpr int execFailedExit = 127;
+
+// Waiting for a director to exit after SIGTERM: 5 s in all.
+constexpr int exitPolls = 500;
+constexpr useconds_t exitPollInterval = 10'000;  // microseconds
+
+// Escapes text for an XML attribute.
 std::string escaped(const std::string& text) {
   std::string out;
   for (const char c : text) {
@@ -38,6 +48,7 @@
   return out;
 }
 
+// Writes an element as XML; `namespaceUri` is declared on it unless null.
 void write(std::ostream& out, const settings::Element& e, const char* namespaceUri) {
   out << "<" << e.name;
   if (namespaceUri != nullptr) out << " xmlns=\"" << namespaceUri << "\"";
@@ -48,6 +59,7 @@
   out << "</" << e.name << ">\n";
 }
 
+// Sets an attribute of each child element of that name that lacks it, and of the first that has it.
 void setAttribute(settings::Element& root, const char* child, const char* attribute,
                   const std::string& value) {
   for (settings::Element& e : root.children) {
@@ -122,12 +134,13 @@
   if (pid < 0) throw std::runtime_error(std::string("fork: ") + std::strerror(errno));
   if (pid == 0) {
     prctl(PR_SET_PDEATHSIG, SIGKILL);
-    if (getppid() != lab) _exit(9);
-    if (grpc_ && chdir(p.folder.c_str()) != 0) _exit(9);  // marks of faults done are kept there
+    if (getppid() != lab) _exit(setUpFailedExit);
+    // Faults that happen once leave marker files in the current folder (TitleFaults in plant.cpp).
+    if (grpc_ && chdir(p.folder.c_str()) != 0) _exit(setUpFailedExit);
     const int fd = open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
     if (fd >= 0) dup2(fd, 2), dup2(fd, 1);
     execv("/proc/self/exe", arguments.data());
-    _exit(127);
+    _exit(execFailedExit);
   }
   p.pid = pid;
   ++p.run;
@@ -202,12 +215,12 @@
   for (DirectorProcess& p : directors_) {
     if (p.pid <= 0) continue;
     bool exited = false;
-    for (int i = 0; i < 500 && !exited; ++i) {
+    for (int i = 0; i < exitPolls && !exited; ++i) {
       siginfo_t info{};
       exited = waitid(P_PID, static_cast<id_t>(p.pid), &info, WEXITED | WNOHANG | WNOWAIT) == 0 &&
                info.si_pid == p.pid;
       if (exited && (info.si_code != CLD_EXITED || info.si_status != 0)) clean = false;
-      if (!exited) usleep(10'000);
+      if (!exited) usleep(exitPollInterval);
     }
     if (!exited) {
       clean = false;
--- a/src/lab/processes.h
+++ b/src/lab/processes.h
@@ -1,6 +1,6 @@
-// The directors of a day: processes of their own, started from this same program on loopback, killed, stopped
-// and started again by the script. They die with the lab, however it ends.
-// Errors: std::runtime_error where a director does not come up.
+// Runs the directors of a day as subprocesses of this program, listening on loopback: starts, kills, suspends
+// and restarts them. They are killed when the lab's process ends for whatever reason.
+// Errors: std::runtime_error where a process cannot be forked.
 #pragma once
 
 #include <sys/types.h>
@@ -13,17 +13,19 @@
 
 namespace lupinsill::lab {
 
-struct DirectorProcess {  // of a director
-  int run = 0;            // counts its starts
-  pid_t pid = 0;
+// One director and its current process.
+struct DirectorProcess {
+  int run = 0;    // number of starts so far
+  pid_t pid = 0;  // 0 while it is not running
   int zone = 0;
-  int playersPort = 0;  // port, 0 while it is down
+  int playersPort = 0;  // 0 until it listens and while it is down
   int adminPort = 0;
-  int grpcPort = 0;  // where it is asked for
-  Micros pausedAt = -1;
-  std::string folder;
+  int grpcPort = 0;      // 0 unless gRPC is enabled
+  Micros pausedAt = -1;  // -1: not suspended
+  std::string folder;    // holds its settings, log and kept list
 };
 
+// All directors of a run, indexed from 0.
 class Processes {
  public:
   Processes(const Day& day, std::string folder, std::vector<std::string> extraArguments, bool grpc = false);
@@ -31,21 +33,29 @@
   Processes(const Processes&) = delete;
   Processes& operator=(const Processes&) = delete;
 
+  // Starts the director unless it is running. It listens when readPorts() has found its ports.
   void start(int directorIndex);
-  // Reads the ports of those that have come up since.
+  // Reads the ports of directors that have begun to listen since the last call.
   void readPorts();
-  // From now on each starts on the ports that it has, as in service.
+  // Writes the current ports into the settings, so that a restarted director listens on the same ones.
   void fixPorts();
-  // The places of those that ended by themselves since; they may be started again.
+  // Collects processes that have exited since the last call and returns their indices; they can be started
+  // again.
   std::vector<int> reapExited();
+  // Kills the process; reapExited() collects it.
   void kill(int directorIndex);
+  // Kills the process, waits for it and records the time.
   void kill(int directorIndex, Micros now, audit::Record& record);
-  void pause(int directorIndex, Micros now);  // SIGSTOP
+  // Suspends the process with SIGSTOP.
+  void pause(int directorIndex, Micros now);
+  // Continues a suspended process and records how long it was suspended.
   void resume(int directorIndex, Micros now, audit::Record& record);
-  // Ends all of them in order; false where one did not end by itself within five seconds.
+  // Sends SIGTERM to all processes and waits for them. False where one failed, or had to be killed because it
+  // did not exit in time.
   bool terminateAll();
   const std::vector<DirectorProcess>& directors() const { return directors_; }
   std::string listFile() const { return folder_ + "/nodes.xml"; }
+  // CPU time of all processes that have ended.
   double cpuSeconds() const { return cpuSeconds_; }
 
  private:
--- a/src/lab/run.cpp
+++ b/src/lab/run.cpp
@@ -20,12 +20,19 @@
 constexpr Micros millisecond = 1'000;
 constexpr Micros second = 1'000'000;
 constexpr Micros worldStepInterval = 50 * millisecond;
-constexpr Micros startUpTimeout = 20 * second;   // for directors to come up
-constexpr Micros settleTimeout = 12 * second;    // after the last ask
-constexpr Micros drainPeriod = 3 * second;       // between `draining` and `gone`
-constexpr Micros replacementDelay = 1 * second;  // a killed node's successor starts
-constexpr Micros directorDowntime = 1500 * millisecond;
+constexpr Micros portsReadInterval = 20 * millisecond;
+constexpr Micros startUpTimeout = 20 * second;   // for all directors to listen
+constexpr Micros settleTimeout = 12 * second;    // for open requests and faults after the end of the day
+constexpr Micros drainPeriod = 3 * second;       // from `draining` to `gone` in the node list
+constexpr Micros replacementDelay = 1 * second;  // from a node's death to the start of its replacement
+constexpr Micros directorDowntime = 1500 * millisecond;  // from a director's death to its restart
+// A client that disconnects on purpose does so by then; histories state this time.
+constexpr Micros historyDisconnectDelay = 60 * millisecond;
+// Tolerances of the audit, added to the times that directors need to act.
+constexpr Micros orderSlack = 250 * millisecond;
+constexpr Micros listReadSlack = 400 * millisecond;
 
+// A wall-clock time as UTC text of XML Schema, with milliseconds.
 std::string utc(Micros wall) {
   const std::time_t seconds = static_cast<std::time_t>(wall / second);
   std::tm tm{};
@@ -36,7 +43,8 @@
   return std::string(text) + part;
 }
 
-// One day: the fleet, its list, the directors, the players, and the script of what goes wrong.
+// The test environment of one day: the nodes, their published list, the directors, the players and the
+// injected faults.
 class DayRunner {
  public:
   DayRunner(const RunOptions& options, std::string folder)
@@ -46,7 +54,7 @@
         world_(day_.deployment.terms, {day_.linkKb, day_.spread, day_.titles}, options.seed),
         chance_(options.seed, 4),
         folder_(std::move(folder)),
-        processes_(day_, folder_, arguments(options)) {
+        processes_(day_, folder_, directorArguments(options)) {
     context_.base = base_.get();
     context_.day = &day_;
     context_.world = &world_;
@@ -56,6 +64,7 @@
   RunResult run();
 
  private:
+  // Work that the event loop does when its time has come.
   struct ScheduledAction {
     Micros at;
     std::function<void()> action;
@@ -64,7 +73,7 @@
     StandIn* node;
     NodeState state;
   };
-  static std::vector<std::string> arguments(const RunOptions& options);
+  static std::vector<std::string> directorArguments(const RunOptions& options);
   void schedule(Micros at, std::function<void()> action) {
     scheduledActions_.push_back({at, std::move(action)});
   }
@@ -72,12 +81,14 @@
   void killNode(StandIn& node);
   void setListedState(NodeId node, NodeState state);
   void publishList();
-  void scheduleFault(const ScheduledFault& trouble);
+  // Schedules the start and the end of a fault that concerns nodes, links, the list or directors.
+  void scheduleFault(const ScheduledFault& fault);
+  // Cells drawn at random: this share of all, at least one.
   std::vector<std::size_t> pickCells(double share);
   void startReplacement(int cell);
   void drainAndReplace(int cell, Micros at, bool startsReplacement);
   void runUntil(const std::function<bool()>& condition);
-  RunResult makeResult(bool clean);
+  RunResult makeResult(bool cleanExit);
 
   void recordEvent(history::What what, int who, double magnitude = 0) {
     if (dayStarted_) history_.happenings.push_back({context_.now(), what, who, magnitude, 0, 0, 0, 0});
@@ -96,24 +107,24 @@
   std::string folder_;
   Processes processes_;
   std::vector<std::unique_ptr<StandIn>> nodes_;
-  std::vector<StandIn*> byCell_;
+  std::vector<StandIn*> byCell_;  // the current node of each cell
   std::map<NodeId, ListedNode> listed_;
   std::unique_ptr<PlayerPool> playerPool_;
   std::vector<ScheduledAction> scheduledActions_;
   NodeId nextNode_ = 0;
   std::uint64_t listVersion_ = 0;
-  Micros publishListAt_ = 0;
+  Micros publishListAt_ = 0;  // 0: nothing to publish
   Micros listStaleUntil_ = 0;
   Micros worldSteppedAt_ = 0;
   Micros portsReadAt_ = 0;
 };
 
-std::vector<std::string> DayRunner::arguments(const RunOptions& options) {
-  std::vector<std::string> words;
-  if (!options.plant.empty()) words.insert(words.end(), {"--plant", options.plant});
-  if (!options.policy.empty()) words.insert(words.end(), {"--policy", options.policy});
-  words.insert(words.end(), {"--seed", std::to_string(options.seed)});
-  return words;
+std::vector<std::string> DayRunner::directorArguments(const RunOptions& options) {
+  std::vector<std::string> arguments;
+  if (!options.plant.empty()) arguments.insert(arguments.end(), {"--plant", options.plant});
+  if (!options.policy.empty()) arguments.insert(arguments.end(), {"--policy", options.policy});
+  arguments.insert(arguments.end(), {"--seed", std::to_string(options.seed)});
+  return arguments;
 }
 
 StandIn& DayRunner::startNode(int cell, bool cold) {
@@ -144,7 +155,7 @@
   publishListAt_ = publishListAt_ == 0 ? context_.now() + day_.listDelay : publishListAt_;
 }
 
-// The whole list under another name, then renamed: a director never reads half of one.
+// Writes the list to a temporary file and renames it, so that a director never reads a partial list.
 void DayRunner::publishList() {
   const Micros now = context_.now();
   if (publishListAt_ == 0 || now < publishListAt_ || now < listStaleUntil_) return;
@@ -201,10 +212,10 @@
   });
 }
 
-void DayRunner::scheduleFault(const ScheduledFault& t) {
-  const Micros end = t.at + t.duration;
+void DayRunner::scheduleFault(const ScheduledFault& fault) {
+  const Micros end = fault.at + fault.duration;
   const auto applyToCells = [&](const std::vector<std::size_t>& cells, auto inject, auto clear) {
-    const auto recordFault = [this, kind = t.kind](const StandIn& n, double magnitude) {
+    const auto recordFault = [this, kind = fault.kind](const StandIn& n, double magnitude) {
       const auto id = static_cast<int>(n.node);
       if (kind == FaultKind::hang) recordEvent(history::What::hang, id, magnitude > 0);
       if (kind == FaultKind::answersLost) recordEvent(history::What::lose, id, magnitude > 0);
@@ -212,7 +223,7 @@
       if (kind == FaultKind::linkCut) recordEvent(history::What::linkCut, id, magnitude);
     };
     for (const std::size_t cell : cells) {
-      schedule(t.at, [this, cell, inject, recordFault, magnitude = std::max(t.magnitude, 1e-3)] {
+      schedule(fault.at, [this, cell, inject, recordFault, magnitude = std::max(fault.magnitude, 1e-3)] {
         if (byCell_[cell]->dead()) return;
         recordFault(*byCell_[cell], magnitude);
         inject(*byCell_[cell]);
@@ -224,34 +235,38 @@
       });
     }
   };
-  switch (t.kind) {
+  switch (fault.kind) {
     case FaultKind::answersLost:
       return applyToCells(
-          pickCells(t.share), [](StandIn& n) { n.faults.loseAnswers = true; },
+          pickCells(fault.share), [](StandIn& n) { n.faults.loseAnswers = true; },
           [](StandIn& n) { n.faults.loseAnswers = false; });
     case FaultKind::hang:
       return applyToCells(
-          pickCells(t.share), [this](StandIn& n) { n.faults.hang = true, world_.stall(n.node, true); },
+          pickCells(fault.share), [this](StandIn& n) { n.faults.hang = true, world_.stall(n.node, true); },
           [this](StandIn& n) { n.faults.hang = false, world_.stall(n.node, false); });
     case FaultKind::fastErrors:
       return applyToCells(
-          pickCells(t.share), [magnitude = t.magnitude](StandIn& n) { n.faults.failShare = magnitude; },
+          pickCells(fault.share),
+          [magnitude = fault.magnitude](StandIn& n) { n.faults.failShare = magnitude; },
           [](StandIn& n) { n.faults.failShare = 0; });
     case FaultKind::slow:
       return applyToCells(
-          pickCells(t.share), [magnitude = t.magnitude](StandIn& n) { n.faults.slowShare = magnitude; },
+          pickCells(fault.share),
+          [magnitude = fault.magnitude](StandIn& n) { n.faults.slowShare = magnitude; },
           [](StandIn& n) { n.faults.slowShare = 0; });
     case FaultKind::linkCut:
       return applyToCells(
-          pickCells(t.share),
-          [this, magnitude = t.magnitude](StandIn& n) { world_.cutLink(n.node, std::max(1.0, magnitude)); },
+          pickCells(fault.share),
+          [this, magnitude = fault.magnitude](StandIn& n) {
+            world_.cutLink(n.node, std::max(1.0, magnitude));
+          },
           [this](StandIn& n) { world_.cutLink(n.node, 1); });
     case FaultKind::uplinkCut: {
       const auto racks = static_cast<std::size_t>(std::max(1, day_.deployment.terms.racks));
       const auto n =
-          std::max<std::size_t>(1, static_cast<std::size_t>(t.share * static_cast<double>(racks) + 0.5));
+          std::max<std::size_t>(1, static_cast<std::size_t>(fault.share * static_cast<double>(racks) + 0.5));
       for (const std::size_t rack : chance_.some(racks, n)) {
-        schedule(t.at, [this, rack, magnitude = t.magnitude] {
+        schedule(fault.at, [this, rack, magnitude = fault.magnitude] {
           world_.cutUplink(static_cast<int>(rack), std::max(1.0, magnitude));
         });
         schedule(end, [this, rack] { world_.cutUplink(static_cast<int>(rack), 1); });
@@ -259,30 +274,31 @@
       return;
     }
     case FaultKind::drain:
-      for (const std::size_t cell : pickCells(t.share))
-        drainAndReplace(static_cast<int>(cell), t.at + chance_.span(0, t.duration), true);
+      for (const std::size_t cell : pickCells(fault.share))
+        drainAndReplace(static_cast<int>(cell), fault.at + chance_.span(0, fault.duration), true);
       return;
     case FaultKind::wave: {
-      const std::vector<std::size_t> cells = pickCells(t.share);
+      const std::vector<std::size_t> cells = pickCells(fault.share);
       for (std::size_t i = 0; i < cells.size(); ++i)
-        drainAndReplace(static_cast<int>(cells[i]),
-                        t.at + static_cast<Micros>(i) * t.duration / static_cast<Micros>(cells.size()), true);
+        drainAndReplace(
+            static_cast<int>(cells[i]),
+            fault.at + static_cast<Micros>(i) * fault.duration / static_cast<Micros>(cells.size()), true);
       return;
     }
     case FaultKind::kill:
-      for (const std::size_t cell : pickCells(t.share)) {
-        schedule(t.at, [this, cell] {
+      for (const std::size_t cell : pickCells(fault.share)) {
+        schedule(fault.at, [this, cell] {
           StandIn& node = *byCell_[cell];
           killNode(node);
           setListedState(node.node, NodeState::gone);
         });
-        schedule(t.at + replacementDelay, [this, cell] { startReplacement(static_cast<int>(cell)); });
+        schedule(fault.at + replacementDelay, [this, cell] { startReplacement(static_cast<int>(cell)); });
       }
       return;
     case FaultKind::listStale:
-      schedule(t.at, [this, end, span = t.duration] {
+      schedule(fault.at, [this, end, duration = fault.duration] {
         for (int d = 0; d < day_.directors; ++d)
-          recordEvent(history::What::late, d, static_cast<double>(span) / millisecond);
+          recordEvent(history::What::late, d, static_cast<double>(duration) / millisecond);
         listStaleUntil_ = end;
       });
       schedule(end, [this] {
@@ -290,7 +306,7 @@
       });
       return;
     case FaultKind::reportsLate:
-      schedule(t.at, [this, magnitude = t.magnitude] {
+      schedule(fault.at, [this, magnitude = fault.magnitude] {
         context_.extraReportDelay = static_cast<Micros>(magnitude * second);
       });
       schedule(end, [this] { context_.extraReportDelay = 0; });
@@ -299,13 +315,14 @@
     case FaultKind::directorRoll: {
       const auto all = static_cast<std::size_t>(day_.directors);
       const auto n =
-          std::max<std::size_t>(1, static_cast<std::size_t>(t.share * static_cast<double>(all) + 0.5));
+          std::max<std::size_t>(1, static_cast<std::size_t>(fault.share * static_cast<double>(all) + 0.5));
       const std::vector<std::size_t> hit = chance_.some(all, n);
       for (std::size_t i = 0; i < hit.size(); ++i) {
         const int directorIndex = static_cast<int>(hit[i]);
-        const Micros at = t.kind == FaultKind::directorKill
-                              ? t.at
-                              : t.at + static_cast<Micros>(i) * t.duration / static_cast<Micros>(hit.size());
+        const Micros at =
+            fault.kind == FaultKind::directorKill
+                ? fault.at
+                : fault.at + static_cast<Micros>(i) * fault.duration / static_cast<Micros>(hit.size());
         schedule(at, [this, directorIndex] {
           recordEvent(history::What::down, directorIndex);
           processes_.kill(directorIndex, context_.now(), record_);
@@ -320,9 +337,9 @@
     case FaultKind::directorStop: {
       const auto all = static_cast<std::size_t>(day_.directors);
       const auto n =
-          std::max<std::size_t>(1, static_cast<std::size_t>(t.share * static_cast<double>(all) + 0.5));
+          std::max<std::size_t>(1, static_cast<std::size_t>(fault.share * static_cast<double>(all) + 0.5));
       for (const std::size_t directorIndex : chance_.some(all, n)) {
-        schedule(t.at, [this, directorIndex] {
+        schedule(fault.at, [this, directorIndex] {
           recordEvent(history::What::stand, static_cast<int>(directorIndex), 1);
           processes_.pause(static_cast<int>(directorIndex), context_.now());
         });
@@ -339,7 +356,7 @@
     case FaultKind::repeats:
     case FaultKind::mute:
     case FaultKind::garbage:
-      return;  // these are the players'
+      return;  // drawArrivals() applies these to the workload
   }
 }
 
@@ -349,7 +366,7 @@
     event_base_loopexit(base_.get(), &wait);
     event_base_loop(base_.get(), EVLOOP_ONCE);
     const Micros now = context_.now();
-    // By their time, not by their place: an act may add others.
+    // The earliest first. An action may add others, so search again after each.
     while (true) {
       const auto due =
           std::min_element(scheduledActions_.begin(), scheduledActions_.end(),
@@ -361,7 +378,7 @@
     }
     for (std::size_t i = 0; i < nodes_.size(); ++i) nodes_[i]->tick();
     if (now - worldSteppedAt_ >= worldStepInterval) worldSteppedAt_ = now, world_.step(now);
-    if (now - portsReadAt_ >= 20 * millisecond) portsReadAt_ = now, processes_.readPorts();
+    if (now - portsReadAt_ >= portsReadInterval) portsReadAt_ = now, processes_.readPorts();
     publishList();
     if (playerPool_) playerPool_->tick();
   }
@@ -388,28 +405,29 @@
                        [](const DirectorProcess& p) { return p.playersPort != 0; });
   });
 
-  // The day begins here; what the nodes recorded so far are their starts.
+  // The day starts now. Times recorded so far are node starts and list publications: make them relative.
   const Micros startUpTime = context_.now();
   context_.dayStart += startUpTime;
   for (auto& start : record_.starts) start.at -= startUpTime;
   for (auto& word : record_.words) word.at -= startUpTime;
   worldSteppedAt_ = portsReadAt_ = 0;
   dayStarted_ = true;
-  for (const ScheduledFault& trouble : day_.faults) scheduleFault(trouble);
+  for (const ScheduledFault& fault : day_.faults) scheduleFault(fault);
   playerPool_ =
       std::make_unique<PlayerPool>(context_, processes_, drawArrivals(day_, options_.seed), options_.seed);
   runUntil([this] { return context_.now() >= day_.length; });
   world_.stopEarning();
-  const Micros ends = context_.now();
+  const Micros dayEndedAt = context_.now();
   runUntil([&] {
-    return (playerPool_->done() && scheduledActions_.empty()) || context_.now() > ends + settleTimeout;
+    return (playerPool_->done() && scheduledActions_.empty()) || context_.now() > dayEndedAt + settleTimeout;
   });
-  const bool clean = processes_.terminateAll();
+  const bool cleanExit = processes_.terminateAll();
   if (!options_.historyFile.empty()) writeHistory();
-  return makeResult(clean);
+  return makeResult(cleanExit);
 }
 
-// What the world did, without what the directors made of it: wishes as drawn, troubles as they hit.
+// Writes the inputs of the run as a history: the requests as drawn and the faults as they happened. What the
+// directors decided is not part of it.
 void DayRunner::writeHistory() {
   history_.settingsFile =
       std::filesystem::relative(day_.settingsFile,
@@ -426,7 +444,8 @@
     history_.happenings.push_back(
         {a.at, history::What::wish, a.viewer, 0, a.roomType, a.title, a.top, a.length});
     if (a.behaviour == ClientBehaviour::disconnects)
-      history_.happenings.push_back({a.at + 60 * millisecond, history::What::cut, a.viewer, 0, 0, 0, 0, 0});
+      history_.happenings.push_back(
+          {a.at + historyDisconnectDelay, history::What::cut, a.viewer, 0, 0, 0, 0, 0});
   }
   std::stable_sort(history_.happenings.begin(), history_.happenings.end(),
                    [](const history::Happening& a, const history::Happening& b) { return a.at < b.at; });
@@ -435,15 +454,15 @@
   if (!out.flush()) throw std::runtime_error(options_.historyFile + ": cannot be written");
 }
 
-RunResult DayRunner::makeResult(bool clean) {
+RunResult DayRunner::makeResult(bool cleanExit) {
   RunResult result;
   audit::Statistics statistics;
   statistics.terms = day_.deployment.terms;
   statistics.clientTimeouts = day_.deployment.clientTimeouts;
   statistics.grace = day_.deployment.bounds.grace;
   statistics.answerSlack = day_.answerSlack;
-  statistics.orderSlack = 250 * millisecond;
-  statistics.listLook = day_.deployment.lookEvery + 400 * millisecond;
+  statistics.orderSlack = orderSlack;
+  statistics.listLook = day_.deployment.lookEvery + listReadSlack;
   result.rows = audit::check(record_, statistics);
   result.playerStatistics = playerPool_->statistics();
   double earned = 0;
@@ -453,7 +472,7 @@
   result.overloadedNodes = record_.nodesFallen.size();
   result.rungChangesPerMinute = world_.playedSeconds() > 0 ? world_.steps() * 60 / world_.playedSeconds() : 0;
   result.directorCpuSeconds = processes_.cpuSeconds();
-  result.cleanEnd = clean;
+  result.cleanEnd = cleanExit;
   return result;
 }
 
@@ -480,6 +499,7 @@
     std::filesystem::create_directories(folder);
     folder = std::filesystem::absolute(folder).string();
   }
+  // Removes the temporary folder at the end; an empty name keeps it.
   struct Cleaner {
     std::string folder;
     ~Cleaner() {
@@ -507,9 +527,9 @@
   std::snprintf(
       line, sizeof line,
       "asks %zu: playing %zu (within the objective %zu), throttled %zu, terminated %zu, unanswered %zu\n"
-      "sockets lost %zu, paid asks repeated after it %zu, players that reached nobody %zu, garbage sent %zu "
+      "sockets lost %zu, paid asks repeated after it %zu, players never connected %zu, garbage sent %zu "
       "and closed %zu\n"
-      "set-ups at nodes %zu, nodes fallen over %zu, steps of rung %.2f a subscription-minute, "
+      "set-ups at nodes %zu, nodes overloaded %zu, rung changes per subscription-minute %.2f, "
       "directors' CPU %.1f s\n",
       t.requests, t.playing, t.metJoinObjective, t.throttled, t.terminated, t.unanswered, t.socketsLost,
       t.requestsRepeated, t.neverConnected, t.garbageSent, t.garbageClosed, r.setUps, r.overloadedNodes,
