--- a/src/lab/clients.cpp
+++ b/src/lab/clients.cpp
@@ -29,36 +29,50 @@
 constexpr int nodeCount = 200;
 constexpr int maxConcurrentSequences = 16;
 constexpr Micros restartPause = 400'000;         // after a sequence in which a director died
-constexpr Micros ledgerDoubtPeriod = 4'000'000;  // after a ledger was new
-constexpr Micros scriptTimeout = 900'000'000;
+constexpr Micros ledgerDoubtPeriod = 4'000'000;  // in which a director with a new ledger doubts keys
+constexpr Micros scriptTimeout = 900'000'000;    // for all sequences of one library
+constexpr Micros startUpTimeout = 10'000'000;    // for the directors to listen
+constexpr Micros stormTimeout = 30'000'000;
+constexpr int stormRequestIntervalMicros = 10'000;
+constexpr Micros stormClientTimeout = 5'000'000;  // of each request
+constexpr int unlimitedRetries = 1'000'000;       // a retry budget that is never used up
+constexpr int sequenceRetries = 20;
+constexpr int naiveAttempts = 3;
+constexpr int unlimitedAttempts = 1'000;
 
-// Passes everything on and counts the asks: what a library does, not what it says of itself.
+// Exit codes of a child whose set-up failed before the program was executed, and whose program could not be
+// executed.
+constexpr int setUpFailedExit = 9;
+constexpr int execFailedExit = 127;
+
+// Counts the requests that pass through another transport. This is independent of what a library reports.
 class CountingTransport final : public client::Transport {
  public:
-  CountingTransport(std::unique_ptr<client::Transport> inner, std::uint64_t& asks)
-      : inner_(std::move(inner)), asks_(asks) {}
+  CountingTransport(std::unique_ptr<client::Transport> inner, std::uint64_t& requests)
+      : inner_(std::move(inner)), requests_(requests) {}
   std::unique_ptr<client::Link> open(const std::string& address, Micros timeLeft,
                                      client::LinkHandler& handler) override {
     auto link = inner_->open(address, timeLeft, handler);
     if (!link) return nullptr;
-    return std::make_unique<CountingLink>(std::move(link), asks_);
+    return std::make_unique<CountingLink>(std::move(link), requests_);
   }
   void tick(Micros now) override { inner_->tick(now); }
 
  private:
   struct CountingLink final : client::Link {
-    CountingLink(std::unique_ptr<client::Link> link, std::uint64_t& asks)
-        : inner(std::move(link)), count(asks) {}
-    void ask(const session_api::PlayMessage& message) override { ++count, inner->ask(message); }
+    CountingLink(std::unique_ptr<client::Link> link, std::uint64_t& requests)
+        : inner(std::move(link)), requestCount(requests) {}
+    void ask(const session_api::PlayMessage& message) override { ++requestCount, inner->ask(message); }
     void leave() override { inner->leave(); }
     bool flushed() const override { return inner->flushed(); }
     std::unique_ptr<client::Link> inner;
-    std::uint64_t& count;
+    std::uint64_t& requestCount;
   };
   std::unique_ptr<client::Transport> inner_;
-  std::uint64_t& asks_;
+  std::uint64_t& requests_;
 };
 
+// Two directors and the counting nodes. Restarts directors that die.
 class Fleet {
  public:
   Fleet(const ClientsOptions& options, std::string folder)
@@ -73,7 +87,7 @@
     std::ofstream(processes_->listFile()) << nodes_.list(1);
     for (int directorIndex = 0; directorIndex < day_.directors; ++directorIndex)
       processes_->start(directorIndex);
-    runUntil([this] { return up(); }, 10'000'000);
+    runUntil([this] { return up(); }, startUpTimeout);
     if (!up()) throw std::runtime_error("a director did not come up; see its log with --keep");
     processes_->fixPorts();
     for (const DirectorProcess& process : processes_->directors())
@@ -84,7 +98,8 @@
     return std::all_of(processes_->directors().begin(), processes_->directors().end(),
                        [](const DirectorProcess& p) { return p.playersPort != 0; });
   }
-  // Turns the loop until it is so, and starts what died.
+  // Runs the event loop until the condition holds or the timeout has passed, and restarts directors that
+  // died.
   template <class Condition>
   void runUntil(Condition condition, Micros timeout) {
     const Micros start = net::monotonicNow();
@@ -104,7 +119,8 @@
       processes_->readPorts();
     }
   }
-  // Keys that may be older than a ledger are doubted; young ones are, for a client timeout after it was new.
+  // A director can't tell whether a key that may be older than its new ledger was used before, and doubts it.
+  // Waits until new keys are certainly younger than the ledgers.
   void waitUntilLedgersTrusted() {
     const Micros start = net::monotonicNow();
     runUntil([&] { return net::monotonicNow() - start > ledgerDoubtPeriod; }, 2 * ledgerDoubtPeriod);
@@ -135,29 +151,29 @@
 };
 
 client::RetryPolicy localRetryPolicy() {
-  client::RetryPolicy out;
-  out.building = "here";
-  return out;
+  client::RetryPolicy policy;
+  policy.building = "here";
+  return policy;
 }
-// Sequences are about repeats; what the budget does is seen in the storms.
+// Sequences test repeated requests and need retries; the retry storms test the budget.
 client::RetryPolicy sequenceRetryPolicy() {
-  client::RetryPolicy out = localRetryPolicy();
-  out.minRetries = 20;
-  return out;
+  client::RetryPolicy policy = localRetryPolicy();
+  policy.minRetries = sequenceRetries;
+  return policy;
 }
 
-// One sequence through the C++ library: its wishes one after the other, a client of its own.
+// Plays one sequence through the C++ library: its requests one after the other, with a client of its own.
 struct SequencePlayer {
-  SequencePlayer(Fleet& fleet, const client_script::Sequence& what, const std::string& library,
-                 std::uint64_t& asks)
-      : sequence(what),
+  SequencePlayer(Fleet& fleet, const client_script::Sequence& script, const std::string& library,
+                 std::uint64_t& requestCount)
+      : sequence(script),
         name(library),
         client(fleet.base(),
                std::make_unique<CountingTransport>(
                    library == "grpc" ? client::makeGrpc(fleet.base()) : client::makeWebSocket(fleet.base()),
-                   asks),
-               fleet.directors(library == "grpc"), sequenceRetryPolicy(), what.seed) {
-    played.sequence = what.number;
+                   requestCount),
+               fleet.directors(library == "grpc"), sequenceRetryPolicy(), script.seed) {
+    played.sequence = script.number;
     next();
   }
   void next() {
@@ -189,63 +205,65 @@
   });
 }
 
-void playInProcess(Fleet& fleet, const std::vector<client_script::Sequence>& all,
+// Plays the sequences through a C++ library: first those that kill no director, several at a time, then the
+// others one by one, each after the directors are up again.
+void playInProcess(Fleet& fleet, const std::vector<client_script::Sequence>& sequences,
                    client_script::Library& library) {
-  for (const bool killing : {false, true}) {
+  for (const bool killsOnly : {false, true}) {
     std::deque<const client_script::Sequence*> waiting;
-    for (const client_script::Sequence& sequence : all)
-      if (killsDirector(sequence) == killing) waiting.push_back(&sequence);
-    std::vector<std::unique_ptr<SequencePlayer>> out;
+    for (const client_script::Sequence& sequence : sequences)
+      if (killsDirector(sequence) == killsOnly) waiting.push_back(&sequence);
+    std::vector<std::unique_ptr<SequencePlayer>> players;
     bool wiped = false;
     fleet.runUntil(
         [&] {
-          std::erase_if(out, [&](const std::unique_ptr<SequencePlayer>& one) {
+          std::erase_if(players, [&](const std::unique_ptr<SequencePlayer>& one) {
             if (!one->done()) return false;
             library.played[one->sequence.number] = one->played;
             return true;
           });
-          if (killing && out.empty() && !waiting.empty()) {
+          if (killsOnly && players.empty() && !waiting.empty()) {
             const Micros from = net::monotonicNow(), span = wiped ? ledgerDoubtPeriod : restartPause;
-            fleet.runUntil([&] { return fleet.up() && net::monotonicNow() - from >= span; }, 10'000'000);
+            fleet.runUntil([&] { return fleet.up() && net::monotonicNow() - from >= span; }, startUpTimeout);
             wiped = waiting.front()->wishes.front().title.starts_with("wipe");
           }
-          while (out.size() < (killing ? 1 : maxConcurrentSequences) && !waiting.empty()) {
-            out.push_back(
+          while (players.size() < (killsOnly ? 1 : maxConcurrentSequences) && !waiting.empty()) {
+            players.push_back(
                 std::make_unique<SequencePlayer>(fleet, *waiting.front(), library.name, library.asks));
             waiting.pop_front();
           }
-          return out.empty();
+          return players.empty();
         },
         scriptTimeout);
   }
 }
 
-// The library of the website, as a process of its own.
-void playTypeScript(Fleet& fleet, const std::vector<client_script::Sequence>& all, const std::string& player,
-                    const std::string& folder, client_script::Library& library) {
+// Plays the sequences through the TypeScript library, in a subprocess.
+void playTypeScript(Fleet& fleet, const std::vector<client_script::Sequence>& sequences,
+                    const std::string& player, const std::string& folder, client_script::Library& library) {
   std::string addresses;
   for (const client::DirectorEndpoint& at : fleet.directors(false))
     addresses += (addresses.empty() ? "" : ",") + at.address;
-  for (const bool killing : {false, true}) {
+  for (const bool killsOnly : {false, true}) {
     const std::string scriptFile = folder + "/script", playedFile = folder + "/played";
     {
-      std::ofstream out(scriptFile);
-      for (const client_script::Sequence& sequence : all)
-        if (killsDirector(sequence) == killing) out << client_script::lineOf(sequence) << "\n";
+      std::ofstream script(scriptFile);
+      for (const client_script::Sequence& sequence : sequences)
+        if (killsDirector(sequence) == killsOnly) script << client_script::lineOf(sequence) << "\n";
     }
-    const std::string concurrency = std::to_string(killing ? 1 : maxConcurrentSequences),
-                      wait = std::to_string(killing ? restartPause / 1000 : 0);
+    const std::string concurrency = std::to_string(killsOnly ? 1 : maxConcurrentSequences),
+                      wait = std::to_string(killsOnly ? restartPause / 1000 : 0);
     const pid_t lab = getpid();
     const pid_t pid = fork();
     if (pid < 0) throw std::runtime_error("fork failed");
     if (pid == 0) {
       prctl(PR_SET_PDEATHSIG, SIGKILL);
-      if (getppid() != lab) _exit(9);
+      if (getppid() != lab) _exit(setUpFailedExit);
       const int fd = open(playedFile.c_str(), O_WRONLY | O_CREAT | O_TRUNC, 0644);
       if (fd >= 0) dup2(fd, 1);
       execlp("node", "node", player.c_str(), scriptFile.c_str(), addresses.c_str(), library.name.c_str(),
              concurrency.c_str(), wait.c_str(), nullptr);
-      _exit(127);
+      _exit(execFailedExit);
     }
     int status = 0;
     bool exited = false;
@@ -261,42 +279,44 @@
   }
 }
 
+// Submits requests at a constant rate to one client while the directors fail them as the plan says.
 RetryStorm runRetryStorm(Fleet& fleet, const std::string& clientName, const std::string& plan, double share,
                          const client::RetryPolicy& policy, bool hasBudget, int requests) {
-  RetryStorm out;
-  out.client = clientName;
-  out.plan = plan;
-  out.share = share;
-  out.requests = requests;
+  RetryStorm storm;
+  storm.client = clientName;
+  storm.plan = plan;
+  storm.share = share;
+  storm.requests = requests;
   const client::RetryPolicy defaultPolicy = localRetryPolicy();
   if (hasBudget)
-    out.maxRequestsSent = static_cast<std::uint64_t>(requests + defaultPolicy.minRetries +
-                                                     defaultPolicy.budgetShare * requests);
+    storm.maxRequestsSent = static_cast<std::uint64_t>(requests + defaultPolicy.minRetries +
+                                                       defaultPolicy.budgetShare * requests);
   client::SessionClient sessionClient(
       fleet.base(),
-      std::make_unique<CountingTransport>(client::makeWebSocket(fleet.base()), out.requestsSent),
+      std::make_unique<CountingTransport>(client::makeWebSocket(fleet.base()), storm.requestsSent),
       fleet.directors(false), policy, 7);
   int submitted = 0, completed = 0;
   const Micros start = net::monotonicNow();
   fleet.runUntil(
       [&] {
-        while (submitted < requests && net::monotonicNow() - start >= submitted * 10'000) {
+        while (submitted < requests &&
+               net::monotonicNow() - start >= submitted * stormRequestIntervalMicros) {
           client::Want want;
           want.viewer = clientName + std::to_string(submitted);
           want.title = plan + "." + std::to_string(submitted++) + "." + clientName;
           want.room = "recipe-clip";
-          want.timeout = 5'000'000;
+          want.timeout = stormClientTimeout;
           sessionClient.ask(want, [&](client::RequestId id, const client::Heard& heard) {
             ++completed;
             if (heard.result != client::Result::playing) return;
-            ++out.playing;
+            ++storm.playing;
             sessionClient.leave(id);
           });
         }
         return completed == requests;
       },
-      30'000'000);
-  return out;
+      stormTimeout);
+  return storm;
 }
 
 }  // namespace
@@ -316,7 +336,7 @@
     folder = std::filesystem::temp_directory_path() / "lupinsill-clients-XXXXXX";
     if (mkdtemp(folder.data()) == nullptr) throw std::runtime_error(folder + ": cannot be made");
   }
-  // What an earlier run left there, marks of faults done above all, would change this one.
+  // Marker files and ledgers of an earlier run would change this one.
   for (const char* old : {"/d0", "/d1"}) std::filesystem::remove_all(folder + old);
   std::filesystem::create_directories(folder);
   folder = std::filesystem::absolute(folder).string();
@@ -338,13 +358,14 @@
     }
     result.findings = client_script::compare(result.sequences, result.libraries);
     client::RetryPolicy naive = localRetryPolicy();
-    naive.minRetries = 1'000'000;
-    naive.maxAttempts = 3;
+    naive.minRetries = unlimitedRetries;
+    naive.maxAttempts = naiveAttempts;
     naive.minBackoff = 1;
     naive.maxBackoff = 1;
     naive.minEjection = naive.maxEjection = 1;
     client::RetryPolicy ours = localRetryPolicy();
-    if (options.plant == "budget-ignored") ours.minRetries = 1'000'000, ours.maxAttempts = 1'000;
+    if (options.plant == "budget-ignored")
+      ours.minRetries = unlimitedRetries, ours.maxAttempts = unlimitedAttempts;
     for (const auto& [plan, share] : {std::pair{"half", 0.5}, {"all", 1.0}, {"refuse", 1.0}}) {
       if (options.crowd == 0) break;
       result.retryStorms.push_back(runRetryStorm(fleet, "ours", plan, share, ours, true, options.crowd));
@@ -356,8 +377,8 @@
   for (const RetryStorm& one : result.retryStorms)
     if (one.maxRequestsSent != 0 && one.requestsSent > one.maxRequestsSent)
       result.findings.push_back(
-          {"storm of " + one.client, std::to_string(one.requestsSent) + " asks, at most " +
-                                         std::to_string(one.maxRequestsSent) + " within the budget"});
+          {"retry storm of " + one.client, std::to_string(one.requestsSent) + " requests sent, at most " +
+                                               std::to_string(one.maxRequestsSent) + " within the budget"});
   if (options.keepFolder.empty()) std::filesystem::remove_all(folder);
   return result;
 }
@@ -368,7 +389,7 @@
     int requests = 0, setUps = 0;
     std::map<std::string, int> results;
   };
-  out << "plan                  library      wishes  set-ups  results\n";
+  out << "plan                  library    requests  set-ups  results\n";
   for (const client_script::Plan& plan : client_script::plans())
     for (const client_script::Library& library : result.libraries)
       for (const bool paid : {false, true}) {
@@ -396,7 +417,7 @@
   for (const RetryStorm& one : result.retryStorms) {
     char line[160];
     std::snprintf(line, sizeof line,
-                  "directors %s %3.0f%%: %-12s %d wishes, %llu asks (%.2f each), %d play\n",
+                  "directors %s %3.0f%%: %-12s %d requests, %llu sent (%.2f each), %d play\n",
                   one.plan == "refuse" ? "throttle" : "fail", one.share * 100, one.client.c_str(),
                   one.requests, static_cast<unsigned long long>(one.requestsSent),
                   static_cast<double>(one.requestsSent) / one.requests, one.playing);
--- a/src/lab/counting.cpp
+++ b/src/lab/counting.cpp
@@ -11,7 +11,7 @@
   CountingNodes* owner = nullptr;
   net::BufferEvent bufferEvent;
   media::Reader reader;
-  std::set<std::string> unansweredSessions;  // set-ups that go on without answers, by what pipelines them
+  std::set<std::string> unansweredSessions;  // by the value of Pipelined-Requests
   bool dead = false;
 };
 
--- a/src/lab/counting.h
+++ b/src/lab/counting.h
@@ -1,5 +1,6 @@
-// Media nodes that count: each answers a SETUP as its title's plan says (src/client_script) and keeps how
-// many came for each title. One loop holds them all; the lab's richer stand-ins are in stand_in.h.
+// Stub media nodes that count SETUP requests by title and answer each as the title's fault plan says
+// (src/client_script). They stream nothing; the nodes of lab runs are in stand_in.h. All share one event
+// loop.
 #pragma once
 
 #include <functional>
@@ -13,17 +14,20 @@
 
 namespace lupinsill::lab {
 
+// The nodes, each on a port of its own.
 class CountingNodes {
  public:
-  // `atNode`: told of each SETUP whose plan kills its director, with the director's name and
-  // whether its ledger goes too.
+  // Called on the first SETUP of a title whose plan kills the director that sent it, with the director's name
+  // and whether its ledger is to be deleted as well.
   using KillHandler = std::function<void(const std::string& director, bool wipe)>;
   CountingNodes(event_base* base, int count, KillHandler killHandler);
   ~CountingNodes();
   CountingNodes(const CountingNodes&) = delete;
   CountingNodes& operator=(const CountingNodes&) = delete;
 
-  std::string list(int version) const;  // as a director's list file
+  // The node list, in the format of a director's list file.
+  std::string list(int version) const;
+  // Number of SETUP requests by title.
   const std::map<std::string, int>& setUps() const { return setUps_; }
 
  private:
--- a/src/lab/import.cpp
+++ b/src/lab/import.cpp
@@ -15,9 +15,16 @@
 namespace {
 
 using Json = nlohmann::json;
+// Limits of an imported day, so that one machine can run it.
 constexpr int maxNodes = 20, maxDirectors = 4, maxRequests = 2500;
-constexpr double maxLengthSeconds = 40;  // seconds
+constexpr double maxLengthSeconds = 40;
+// Share of nodes or directors that a fault affects where the bench's day states none, as the bench's
+// descriptions have it.
+constexpr double defaultFaultShare = 0.3;
+// Shortest and longest viewing length.
+constexpr double minLengthMicros = 0.6e6, maxLengthMicros = 1.4e6;  // per second of the mean
 
+// A duration attribute, at least 1 ms.
 std::string ms(double micros) {
   return std::to_string(std::max<long long>(1, std::llround(micros / 1000))) + "ms";
 }
@@ -28,27 +35,27 @@
   return out.str();
 }
 
-// The bench's words for what goes wrong with video fleets, and ours. `much`: what its size means here.
+// The lab's kind for a kind of fault of the bench, and what the bench's size of the fault means.
 struct KindMapping {
   const char* labKind;
-  enum class SizeMeaning { share, times, seconds, none } magnitude;
+  enum class SizeMeaning { share, times, seconds, none } sizeMeaning;
 };
 const std::map<std::string, KindMapping>& kindMappings() {
-  using M = KindMapping::SizeMeaning;
-  static const std::map<std::string, KindMapping> all{{"answer_lost", {"answers-lost", M::none}},
-                                                      {"hang", {"hang", M::none}},
-                                                      {"fast_errors", {"fast-errors", M::share}},
-                                                      {"slow", {"link-cut", M::times}},
-                                                      {"origin_slow", {"uplink-cut", M::times}},
-                                                      {"preempt", {"drain", M::none}},
-                                                      {"deploy", {"wave", M::none}},
-                                                      {"discovery_down", {"list-stale", M::none}},
-                                                      {"report_late", {"reports-late", M::seconds}},
-                                                      {"hot_key", {"crowd", M::share}},
-                                                      {"burst", {"burst", M::times}},
-                                                      {"balancer_crash", {"director-kill", M::none}},
-                                                      {"balancer_roll", {"director-roll", M::none}},
-                                                      {"balancer_stall", {"director-stop", M::none}}};
+  using Meaning = KindMapping::SizeMeaning;
+  static const std::map<std::string, KindMapping> all{{"answer_lost", {"answers-lost", Meaning::none}},
+                                                      {"hang", {"hang", Meaning::none}},
+                                                      {"fast_errors", {"fast-errors", Meaning::share}},
+                                                      {"slow", {"link-cut", Meaning::times}},
+                                                      {"origin_slow", {"uplink-cut", Meaning::times}},
+                                                      {"preempt", {"drain", Meaning::none}},
+                                                      {"deploy", {"wave", Meaning::none}},
+                                                      {"discovery_down", {"list-stale", Meaning::none}},
+                                                      {"report_late", {"reports-late", Meaning::seconds}},
+                                                      {"hot_key", {"crowd", Meaning::share}},
+                                                      {"burst", {"burst", Meaning::times}},
+                                                      {"balancer_crash", {"director-kill", Meaning::none}},
+                                                      {"balancer_roll", {"director-roll", Meaning::none}},
+                                                      {"balancer_stall", {"director-stop", Meaning::none}}};
   return all;
 }
 
@@ -75,7 +82,8 @@
     const double linkKb = fam.at("core_kb").get<double>() * cores;
     const double benchLength = day.at("length").get<double>() / 1e6;
     const double timeScale = std::min(1.0, maxLengthSeconds / benchLength);
-    // Seats are a director's: fewer directors, each with more viewers, hold more of one title each.
+    // Seats are counted per director: each of fewer directors has more viewers of a title and needs more
+    // seats.
     const double viewersPerDirectorFactor = std::max(1.0, (nodes / servers) / (directors / balancers));
     const int titles = std::max(8, static_cast<int>(fam.at("titles").get<double>() * nodes / servers));
     const Json& rates = fam.at("rates");
@@ -112,7 +120,7 @@
     for (std::size_t i = 0; i < day["classes"].size(); ++i) {
       const Json &c = day["classes"][i], &use = fam["uses"][i];
       const std::string effect = c.at("effect").get<std::string>();
-      // The room type's own name has nothing to say here.
+      // Room types are numbered; the bench's names are not taken over.
       settingsXml << "<room-type name=\"room-" << i << "\" effect=\""
                   << (effect == "safe"    ? "repeatable"
                       : effect == "keyed" ? "by-key"
@@ -126,8 +134,8 @@
                   << static_cast<int>(std::ceil(use.at("seats").get<double>() * viewersPerDirectorFactor))
                   << "\"/>\n";
       rooms << "<room name=\"room-" << i << "\" share=\"" << number(c.at("share").get<double>())
-            << "\" least=\"" << ms(meanLengthSeconds * 0.6e6) << "\" most=\"" << ms(meanLengthSeconds * 1.4e6)
-            << "\"/>\n";
+            << "\" least=\"" << ms(meanLengthSeconds * minLengthMicros) << "\" most=\""
+            << ms(meanLengthSeconds * maxLengthMicros) << "\"/>\n";
     }
     const Json& tier = day["tiers"][0];
     const bool uplinks = std::any_of(tier.at("report_fields").begin(), tier.at("report_fields").end(),
@@ -157,24 +165,24 @@
       const std::string name = t.at("kind").get<std::string>();
       const auto mapping = kindMappings().find(name);
       if (mapping == kindMappings().end()) {
-        summary << "left out: a trouble of kind " << name << " has no like in the lab\n";
+        summary << "left out: a trouble of kind " << name << " has no counterpart in the lab\n";
         continue;
       }
       ++imported;
       const bool ofDirectors = name.starts_with("balancer_");
       const double size = t.at("size").get<double>();
-      // Where the size says how many times less, the day does not say how many: three in ten, as in the
-      // briefs.
-      double share =
-          mapping->second.magnitude == KindMapping::SizeMeaning::times ? 0.3 : std::clamp(size, 0.0, 1.0);
+      // A size that divides a capacity does not say how many nodes are affected.
+      double share = mapping->second.sizeMeaning == KindMapping::SizeMeaning::times
+                         ? defaultFaultShare
+                         : std::clamp(size, 0.0, 1.0);
       if (!t.at("on").empty())
         share = static_cast<double>(t["on"].size()) / (ofDirectors ? balancers : servers);
       std::size_t stopped = 0;
       for (const Json& step : t.at("steps")) stopped += step.contains("stop") ? step["stop"].size() : 0;
       if (stopped > 0) share = static_cast<double>(stopped) / (ofDirectors ? balancers : servers);
-      const double magnitude = mapping->second.magnitude == KindMapping::SizeMeaning::times
+      const double magnitude = mapping->second.sizeMeaning == KindMapping::SizeMeaning::times
                                    ? std::max(1.0, size)
-                               : mapping->second.magnitude == KindMapping::SizeMeaning::seconds
+                               : mapping->second.sizeMeaning == KindMapping::SizeMeaning::seconds
                                    ? std::max(0.5, t.at("extra").get<double>() / 1e6)
                                    : std::clamp(size, 0.05, 1.0);
       dayXml << "<trouble kind=\"" << mapping->second.labKind << "\" at=\""
--- a/src/lab/import.h
+++ b/src/lab/import.h
@@ -1,14 +1,14 @@
-// A day of the operators' bench as a day of the lab: the same kinds of trouble at the same times, on a fleet
-// that one machine carries. Reads the bench's day file from where it lies; nothing of it is kept but figures.
-// Errors: settings::BadSettings, one line.
+// Converts a day file of the operators' bench (JSON) into a day of the lab: the same kinds of fault at the
+// same relative times, scaled down to a fleet that one machine can run. Only numbers are taken over, no
+// names. Errors: settings::BadSettings with a one-line message.
 #pragma once
 
 #include <string>
 
 namespace lupinsill::lab {
 
-// Writes `folder`/day.xml and `folder`/settings.xml. Returns what it did, in lines for people: how far it was
-// scaled, and which troubles have no like here.
+// Writes `folder`/day.xml and `folder`/settings.xml. Returns a summary for people: how far the day was scaled
+// down, and which faults were left out because the lab has no such kind.
 std::string importDay(const std::string& benchDay, const std::string& folder);
 
 }  // namespace lupinsill::lab
--- a/src/lab/plant.cpp
+++ b/src/lab/plant.cpp
@@ -16,7 +16,17 @@
 
 using session::Command;
 
-// The module between bent events and bent actions.
+// Timeout of repeatable joins under budget-over, short so that many time out and are retried.
+constexpr Micros retriedJoinTimeout = 3'000;
+// Timeout of non-repeatable joins under join-again and throttle-after-run, short so that many time out
+// although they may have run.
+constexpr Micros shortJoinTimeout = 5'000;
+// Delay of an answer under answer-late.
+constexpr Micros answerDelay = 5'500'000;
+// Faults in commands act on every n-th one.
+constexpr int faultInterval = 10;
+
+// Wraps the control module and falsifies the events that it receives and the actions that it returns.
 class FaultyDecider final : public session::Decider {
  public:
   FaultyDecider(std::string name, const ControlSettings& terms, std::uint64_t seed)
@@ -34,12 +44,12 @@
       if (auto* update = std::get_if<ListUpdate>(&event)) applyDrainFault(*update);
       if (const auto* requested = std::get_if<SubscriptionRequested>(&event))
         rooms_[requested->viewing.sub] = requested->viewing.roomType;
-      // The module hears of a join where it sent it, wherever the plant did.
+      // The module sees results under the node that it chose, also where the fault sent the join elsewhere.
       if (auto* ended = std::get_if<JoinEnded>(&event))
         if (const auto it = sentTo_.find(ended->sub); it != sentTo_.end()) ended->node = it->second;
       if (auto* measured = std::get_if<MeasurementReported>(&event))
         if (const auto it = sentTo_.find(measured->sub); it != sentTo_.end()) measured->node = it->second;
-      // A paid join that may have run is told as refused.
+      // Reports a join that may have run as refused, so that the module tries again.
       if (auto* ended = std::get_if<JoinEnded>(&event); ended != nullptr && name_ == "join-again")
         if (ended->outcome == Outcome::error || ended->outcome == Outcome::timeout ||
             ended->outcome == Outcome::reset)
@@ -73,9 +83,9 @@
         for (const auto& [id, entry] : nodes_)
           if (ignoredDrains_.contains(id)) join->node = id;
       const RoomType& room = terms_.roomTypes[static_cast<std::size_t>(rooms_[join->sub])];
-      if (name_ == "budget-over" && room.effect == Effect::repeatable) join->timeout = 3'000;
-      if (name_ == "join-again" && room.effect == Effect::once) join->timeout = 5'000;
-      if (name_ == "throttle-after-run" && room.effect == Effect::once) join->timeout = 5'000;
+      if (name_ == "budget-over" && room.effect == Effect::repeatable) join->timeout = retriedJoinTimeout;
+      if (name_ == "join-again" && room.effect == Effect::once) join->timeout = shortJoinTimeout;
+      if (name_ == "throttle-after-run" && room.effect == Effect::once) join->timeout = shortJoinTimeout;
     }
     if (auto* rung = std::get_if<SetRung>(&action); rung != nullptr && name_ == "floor-under") rung->rung = 0;
     if (const auto* end = std::get_if<Terminate>(&action); end != nullptr && name_ == "throttle-after-run")
@@ -91,8 +101,8 @@
   std::map<SubscriptionId, NodeId> sentTo_;
 };
 
-// Faults that a title names (src/client_script): a director that dies at a step, or cuts a call there. It
-// does each once; one that died knows by a mark in its folder that it did.
+// Faults that a title names (src/client_script): the director dies, or closes the call, at a given step. It
+// dies once per title: a marker file in its folder tells the restarted director that it already did.
 struct TitleFaults {
   std::map<std::string, int> cutCount;
   std::minstd_rand chance{11};
@@ -132,12 +142,13 @@
          std::holds_alternative<session::Terminated>(command);
 }
 
-// Orders between the session core and the sockets, tampered with every tenth time.
+// Falsifies commands on their way from the session core to the sockets: every tenth one that a fault
+// concerns.
 struct CommandFault {
   explicit CommandFault(std::string faultName) : name(std::move(faultName)) {}
   std::string name;
   int matchingCommands = 0;
-  session::JoinId nextJoin = 1'000'000'000;
+  session::JoinId nextJoin = 1'000'000'000;  // beyond the ids that the session core assigns
   std::vector<NodeId> knownNodes;
   std::deque<std::pair<Micros, Command>> delayed;
 
@@ -151,17 +162,17 @@
       if (const auto* setUp = std::get_if<session::SetUp>(&command)) {
         if (std::find(knownNodes.begin(), knownNodes.end(), setUp->node) == knownNodes.end())
           knownNodes.push_back(setUp->node);
-        if (name == "second-join" && ++matchingCommands % 10 == 0 && knownNodes.size() > 1) {
+        if (name == "second-join" && ++matchingCommands % faultInterval == 0 && knownNodes.size() > 1) {
           session::SetUp second = *setUp;
           second.join = ++nextJoin;
           second.node = knownNodes[0] == setUp->node ? knownNodes[1] : knownNodes[0];
           out.emplace_back(second);
         }
       }
-      if (isAnswer(command) && name.starts_with("answer-") && ++matchingCommands % 10 == 0) {
+      if (isAnswer(command) && name.starts_with("answer-") && ++matchingCommands % faultInterval == 0) {
         if (name == "answer-lost") continue;
         if (name == "answer-late") {
-          delayed.emplace_back(now + 5'500'000, std::move(command));
+          delayed.emplace_back(now + answerDelay, std::move(command));
           continue;
         }
         out.push_back(command);
@@ -176,18 +187,18 @@
 
 const std::vector<PlantedFault>& plantedFaults() {
   static const std::vector<PlantedFault> all{
-      {"answer-lost", 1, "every tenth answer never leaves"},
-      {"answer-late", 1, "every tenth answer leaves 5.5 s late"},
-      {"answer-twice", 1, "every tenth answer leaves twice"},
+      {"answer-lost", 1, "every tenth answer is not sent"},
+      {"answer-late", 1, "every tenth answer is sent 5.5 s late"},
+      {"answer-twice", 1, "every tenth answer is sent twice"},
       {"second-join", 2, "every tenth join goes to two nodes at once"},
       {"join-again", 2, "a paid join that may have run is sent again"},
-      {"throttle-after-run", 2, "a paid ask is throttled though its join may have run"},
-      {"ledger-unused", 2, "paid asks are not recorded, so a restart forgets them"},
-      {"drain-ignored", 3, "the word that a node drains is not heeded"},
+      {"throttle-after-run", 2, "a paid request is throttled although its join may have run"},
+      {"ledger-unused", 2, "paid requests are not recorded in the ledger, so a restart forgets them"},
+      {"drain-ignored", 3, "a draining node counts as ready"},
       {"cold-burst", 4, "while a node is cold, every join goes there"},
       {"seat-over", 5, "seats are not counted"},
       {"floor-under", 5, "every rung is the lowest"},
-      {"budget-over", 6, "safe joins are given up after 3 ms and sent again, without a budget"},
+      {"budget-over", 6, "safe joins time out after 3 ms and are retried without a budget"},
   };
   return all;
 }
--- a/src/lab/plant.h
+++ b/src/lab/plant.h
@@ -1,6 +1,6 @@
-// Faults planted on purpose, each of which the audit must catch by the rule it breaks: an audit that has
-// caught nothing proves nothing. They sit behind the guards or take the guards away, in a director that the
-// lab starts; nothing of them is in the product's path.
+// Faults injected into a director to test the audit: each breaks one rule, and the audit must report it. An
+// audit that never reported a violation would prove nothing. The faults act through director::Hooks, behind
+// the guards or with the guards disabled; code in service never enables them.
 #pragma once
 
 #include <string>
@@ -10,15 +10,18 @@
 
 namespace lupinsill::lab {
 
+// A fault, the number of the audit rule that must report it, and what it does.
 struct PlantedFault {
   const char* name;
-  int rule;  // that must catch it
+  int rule;  // from 1
   const char* description;
 };
 const std::vector<PlantedFault>& plantedFaults();
+// The fault of that name, or null.
 const PlantedFault* findPlantedFault(const std::string& name);
-// Besides plants: "titles", the faults that scripted titles name (src/client_script); "titles-unrecorded",
-// the same without a ledger. Throws std::runtime_error for a name not known.
+// The hooks that inject a fault into a director. Two more names are known: "titles" injects the faults that
+// the titles of client scripts name (src/client_script), and "titles-unrecorded" does so without a ledger.
+// Throws std::runtime_error for an unknown name.
 director::Hooks hooksForFault(const std::string& name);
 
 }  // namespace lupinsill::lab
