--- a/bench/ledger.cpp
+++ b/bench/ledger.cpp
@@ -1,4 +1,5 @@
-// What a ledger of so many records costs: to write in group commits, to read at a start, to recover from.
+// Benchmark of the ledger: the time to write a number of records in group commits, to read them at start-up,
+// and to recover from them.
 //   lupinsill_ledger_bench FILE [RECORDS]
 #include <sys/resource.h>
 
@@ -19,38 +20,38 @@
   }
   const std::string file = argv[1];
   const int records = argc > 2 ? std::atoi(argv[2]) : 1'000'000;
-  constexpr int batch = 1'000;
+  constexpr int recordsPerWrite = 1'000;
   constexpr std::size_t megabytes = 1'024;
-  const Micros memory = 3'600'000'000;
-  const auto seconds = [](Micros from) { return static_cast<double>(net::monotonicNow() - from) / 1e6; };
+  const Micros keyRetention = 3'600'000'000;  // one hour
+  const auto secondsSince = [](Micros from) { return static_cast<double>(net::monotonicNow() - from) / 1e6; };
   std::filesystem::remove(file);
-  const Micros offset = net::wallNow() - net::monotonicNow();
+  const Micros wallClockOffset = net::wallNow() - net::monotonicNow();
   {
-    store::Store store(file, megabytes, offset, [] {});
-    ledger::Ledger ledger(memory, static_cast<std::size_t>(records) + 1, true);
+    store::Store store(file, megabytes, wallClockOffset, [] {});
+    ledger::Ledger ledger(keyRetention, static_cast<std::size_t>(records) + 1, true);
     const Micros start = net::monotonicNow();
-    ledger::Seq last = 0;
+    ledger::Seq lastSequence = 0;
     for (int i = 0; i < records; ++i) {
-      last = ledger.recordIntent(net::monotonicNow(), ledger::digestOf("key " + std::to_string(i)));
-      if (i % batch == batch - 1) store.write(ledger.takeWrites());
+      lastSequence = ledger.recordIntent(net::monotonicNow(), ledger::digestOf("key " + std::to_string(i)));
+      if (i % recordsPerWrite == recordsPerWrite - 1) store.write(ledger.takeWrites());
     }
     store.write(ledger.takeWrites());
-    while (store.durable() < last && !store.failed())
+    while (store.durable() < lastSequence && !store.failed())
       std::this_thread::sleep_for(std::chrono::milliseconds(1));
     if (store.failed()) return std::fprintf(stderr, "%s: a commit failed\n", file.c_str()), 3;
-    std::printf("written: %d records in %.2f s, %llu commits, %.0f MB\n", records, seconds(start),
+    std::printf("written: %d records in %.2f s, %llu commits, %.0f MB\n", records, secondsSince(start),
                 static_cast<unsigned long long>(store.commits()),
                 static_cast<double>(std::filesystem::file_size(file)) / 1e6);
   }
   const Micros start = net::monotonicNow();
-  const store::Store store(file, megabytes, offset, [] {});
-  const double read = seconds(start);
-  ledger::Ledger ledger(memory, static_cast<std::size_t>(records) + 1, true);
+  const store::Store store(file, megabytes, wallClockOffset, [] {});
+  const double readSeconds = secondsSince(start);
+  ledger::Ledger ledger(keyRetention, static_cast<std::size_t>(records) + 1, true);
   ledger.recover(net::monotonicNow(), store.found().records, store.found().whole);
-  rusage used{};
-  getrusage(RUSAGE_SELF, &used);
-  std::printf("started: %.2f s in all, %.2f of it reading; %zu keys known, %s, %ld MB at most\n",
-              seconds(start), read, ledger.size(), store.found().whole ? "whole" : "damaged",
-              used.ru_maxrss / 1024);
+  rusage usage{};
+  getrusage(RUSAGE_SELF, &usage);
+  std::printf("started: %.2f s in all, %.2f of it reading; %zu keys known, %s, peak memory %ld MB\n",
+              secondsSince(start), readSeconds, ledger.size(), store.found().whole ? "whole" : "damaged",
+              usage.ru_maxrss / 1024);
   return 0;
 }
--- a/bench/load.cpp
+++ b/bench/load.cpp
@@ -1,7 +1,7 @@
-// What one director carries on one core, over real sockets on loopback: asks a second until the 99th
-// percentile of ask to first join passes a limit, CPU an ask, memory an idle player; beside it, in the same
-// run, a plain policy in the same director. Bounded in rate and time; ends by itself. docs/measurements.md
-// has the commands.
+// Load test of one director on one core, over real sockets on loopback. Measures the rate of requests up to
+// which the 99th percentile of the time from request to first join stays under a limit, the CPU time of a
+// request, and the memory of an idle player. A director with a baseline policy is measured alongside. The
+// rate and the time are bounded; the program ends by itself. docs/measurements.md has the commands.
 #include <signal.h>
 #include <sodium.h>
 #include <sys/prctl.h>
@@ -27,18 +27,31 @@
 namespace {
 
 using namespace lupinsill;
-constexpr int nodes = 8;
-constexpr std::size_t sockets = 400;
+constexpr int nodeCount = 8;
+constexpr int startUpPolls = 200;
+constexpr useconds_t startUpPollInterval = 25'000;  // microseconds
+constexpr int openPolls = 200;
+constexpr Micros openPollInterval = 50'000;
+constexpr std::size_t openBatch = 100;  // sockets opened before the event loop runs
+constexpr Micros openBatchPause = 20'000;
+constexpr Micros stepPause = 300'000;   // before each step
+constexpr Micros sendInterval = 500;    // requests that are due are sent this often
+constexpr Micros answerWait = 500'000;  // for the last answers of a step
+constexpr double firstRate = 500;       // requests a second
+constexpr double rateGrowth = 1.5;      // from step to step
+constexpr double cpuRate = 1'000;       // at which CPU times are compared
+constexpr std::size_t playerSockets = 400;
 
-struct Program {
+// A director running as a subprocess with a temporary folder of its own.
+struct DirectorProcess {
   pid_t pid = 0;
-  int players = 0;
+  int playersPort = 0;
   std::string folder;
 
-  Program(const std::string& program, const std::string& policy, const std::vector<int>& ports,
-          bool ledger = false) {
-    std::string made = std::filesystem::temp_directory_path() / "lupinsill-load-XXXXXX";
-    folder = mkdtemp(made.data());
+  DirectorProcess(const std::string& program, const std::string& policy, const std::vector<int>& ports,
+                  bool ledger = false) {
+    std::string folderTemplate = std::filesystem::temp_directory_path() / "lupinsill-load-XXXXXX";
+    folder = mkdtemp(folderTemplate.data());
     std::ofstream(folder + "/s.xml") << R"(<lupinsill xmlns="urn:lupinsill:settings:1">
 <director name="load" zone="z"/><listen players="127.0.0.1:0" admin="127.0.0.1:0"/>
 <list file="nodes.xml" kept-as="kept.xml"/>)"
@@ -70,19 +83,20 @@
               portsFile.c_str(), "--policy", policy.c_str(), nullptr);
       _exit(127);
     }
-    for (int i = 0; i < 200 && players == 0; ++i) {
-      usleep(25'000);
+    for (int i = 0; i < startUpPolls && playersPort == 0; ++i) {
+      usleep(startUpPollInterval);
       std::ifstream in(portsFile);
-      std::string word;
-      in >> word >> players;
+      std::string label;
+      in >> label >> playersPort;
     }
-    if (players == 0) throw std::runtime_error(program + ": did not come up");
+    if (playersPort == 0) throw std::runtime_error(program + ": did not come up");
   }
-  ~Program() {
+  ~DirectorProcess() {
     kill(pid, SIGTERM);
     waitpid(pid, nullptr, 0);
     std::filesystem::remove_all(folder);
   }
+  // CPU time so far, user and system.
   double cpuSeconds() const {
     std::ifstream in("/proc/" + std::to_string(pid) + "/stat");
     std::string word;
@@ -91,6 +105,7 @@
       if (i >= 14) ticks += std::atof(word.c_str());
     return ticks / static_cast<double>(sysconf(_SC_CLK_TCK));
   }
+  // Resident memory.
   double residentKb() const {
     std::ifstream in("/proc/" + std::to_string(pid) + "/status");
     std::string word;
@@ -103,119 +118,124 @@
   }
 };
 
-// All players and all nodes, in this one process.
-struct Peers {
+// All players and all stub media nodes, in this process on one event loop.
+struct LoadGenerator {
   net::EventBase base{event_base_new()};
   std::vector<net::Listener> listeners;
   std::vector<int> ports;
-  struct Link {
-    Peers* peers;
+  struct NodeConnection {
+    LoadGenerator* generator;
     net::BufferEvent bufferEvent;
     media::Reader reader;
     int sessions = 0;
   };
-  std::vector<std::unique_ptr<Link>> links;
+  std::vector<std::unique_ptr<NodeConnection>> nodeConnections;
 
   struct Player final : websocket::Channel::Handler {
-    Peers* peers = nullptr;
+    LoadGenerator* generator = nullptr;
     std::unique_ptr<websocket::Channel> channel;
     bool open = false;
-    void onOpen(websocket::Channel&) override { open = true, ++peers->opened; }
-    void onText(websocket::Channel&, std::string_view text) override { peers->answered(*this, text); }
-    void onClosed(websocket::Channel&, int) override { open = false, ++peers->lost; }
+    void onOpen(websocket::Channel&) override { open = true, ++generator->opened; }
+    void onText(websocket::Channel&, std::string_view text) override { generator->onAnswer(*this, text); }
+    void onClosed(websocket::Channel&, int) override { open = false, ++generator->lost; }
   };
   std::vector<std::unique_ptr<Player>> players;
   std::size_t opened = 0, lost = 0, next = 0, answers = 0, playing = 0;
-  std::map<std::string, Micros> sent;  // by id, which is the key without its director
+  std::map<std::string, Micros> sentAt;  // by request id, the idempotency key without its director prefix
   std::vector<Micros> joinTimes, answerTimes;
   double paidShare = 0;
 
-  Peers() {
-    for (int i = 0; i < nodes; ++i) {
+  LoadGenerator() {
+    for (int i = 0; i < nodeCount; ++i) {
       listeners.push_back(net::listenOn(base.get(), "127.0.0.1", 0, accept, this));
       ports.push_back(net::portOf(listeners.back().get()));
     }
   }
-  ~Peers() {
+  ~LoadGenerator() {
     players.clear();
-    links.clear();
+    nodeConnections.clear();
   }
   static void accept(evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* me) {
-    auto& peers = *static_cast<Peers*>(me);
+    auto& generator = *static_cast<LoadGenerator*>(me);
     net::noDelay(fd);
-    auto link = std::make_unique<Link>();
-    link->peers = &peers;
-    link->bufferEvent.reset(bufferevent_socket_new(peers.base.get(), fd, BEV_OPT_CLOSE_ON_FREE));
-    bufferevent_setcb(link->bufferEvent.get(), read, nullptr, nullptr, link.get());
-    bufferevent_enable(link->bufferEvent.get(), EV_READ | EV_WRITE);
-    peers.links.push_back(std::move(link));
+    auto connection = std::make_unique<NodeConnection>();
+    connection->generator = &generator;
+    connection->bufferEvent.reset(bufferevent_socket_new(generator.base.get(), fd, BEV_OPT_CLOSE_ON_FREE));
+    bufferevent_setcb(connection->bufferEvent.get(), read, nullptr, nullptr, connection.get());
+    bufferevent_enable(connection->bufferEvent.get(), EV_READ | EV_WRITE);
+    generator.nodeConnections.push_back(std::move(connection));
   }
   static void read(bufferevent* bufferEvent, void* me) {
-    Link& link = *static_cast<Link*>(me);
+    NodeConnection& connection = *static_cast<NodeConnection*>(me);
     evbuffer* input = bufferevent_get_input(bufferEvent);
     std::string bytes(evbuffer_get_length(input), '\0');
     evbuffer_remove(input, bytes.data(), bytes.size());
-    link.reader.feed(bytes);
+    connection.reader.feed(bytes);
     std::string out;
-    while (const auto message = link.reader.next()) {
+    while (const auto message = connection.reader.next()) {
       if (message->method == "SETUP") {
-        ++link.sessions;
+        ++connection.sessions;
         const std::string key = media::unescaped(message->header("Lupinsill-Ask"));
-        const auto it = link.peers->sent.find(key.substr(key.find(':') + 1));
-        if (it != link.peers->sent.end()) link.peers->joinTimes.push_back(net::monotonicNow() - it->second);
+        const auto it = connection.generator->sentAt.find(key.substr(key.find(':') + 1));
+        if (it != connection.generator->sentAt.end())
+          connection.generator->joinTimes.push_back(net::monotonicNow() - it->second);
       }
       media::Message reply;
       reply.status = 200;
       reply.headers = {{"CSeq", std::string(message->header("CSeq"))}};
       if (message->method == "SETUP" || message->method == "PLAY")
-        reply.headers.emplace_back("Session", std::to_string(link.sessions));
+        reply.headers.emplace_back("Session", std::to_string(connection.sessions));
       reply.headers.emplace_back("Endpoint-Load-Metrics",
                                  "TEXT application_utilization=0.3000, named_metrics.uplink=0.3000");
       out += reply.bytes();
     }
     evbuffer_add(bufferevent_get_output(bufferEvent), out.data(), out.size());
   }
-  void open(const Program& program, std::size_t count) {
+  // Connects this many players and waits until all are open.
+  void open(const DirectorProcess& program, std::size_t count) {
     opened = lost = 0;
     websocket::ChannelLimits limits;
     limits.unsentBytes = 1 << 22;
     for (std::size_t i = 0; i < count; ++i) {
       auto player = std::make_unique<Player>();
-      player->peers = this;
+      player->generator = this;
       player->channel = std::make_unique<websocket::Channel>(
-          net::connectTo(base.get(), "127.0.0.1", program.players), *player, limits, false, "x");
+          net::connectTo(base.get(), "127.0.0.1", program.playersPort), *player, limits, false, "x");
       players.push_back(std::move(player));
-      if (i % 100 == 99) spin(20'000);
+      if (i % openBatch == openBatch - 1) runFor(openBatchPause);
     }
-    for (int i = 0; i < 200 && opened + lost < count; ++i) spin(50'000);
+    for (int i = 0; i < openPolls && opened + lost < count; ++i) runFor(openPollInterval);
     if (opened < count) throw std::runtime_error("only " + std::to_string(opened) + " sockets opened");
   }
-  void spin(Micros span) {
-    const Micros until = net::monotonicNow() + span;
+  // Runs the event loop for this time.
+  void runFor(Micros duration) {
+    const Micros until = net::monotonicNow() + duration;
     do {
       const timeval wait{0, 1000};
       event_base_loopexit(base.get(), &wait);
       event_base_loop(base.get(), EVLOOP_ONCE);
     } while (net::monotonicNow() < until);
   }
-  void ask() {
+  // Sends the next request, from the players in turn.
+  void sendRequest() {
     Player& player = *players[next++ % players.size()];
-    websocket::PlayMessage ask;
-    ask.id = ask.key = "a" + std::to_string(next);
-    ask.viewer = "v" + std::to_string(next % 50'000);
-    ask.title = "t" + std::to_string(next % 500);
-    ask.room = "clip";
-    if (static_cast<double>(next % 100) < paidShare * 100) ask.room = "paid", ask.key = "load:" + ask.key;
-    sent[ask.id] = net::monotonicNow();
-    player.channel->sendText(websocket::textOf(ask));
+    websocket::PlayMessage request;
+    request.id = request.key = "a" + std::to_string(next);
+    request.viewer = "v" + std::to_string(next % 50'000);
+    request.title = "t" + std::to_string(next % 500);
+    request.room = "clip";
+    if (static_cast<double>(next % 100) < paidShare * 100)
+      request.room = "paid", request.key = "load:" + request.key;
+    sentAt[request.id] = net::monotonicNow();
+    player.channel->sendText(websocket::textOf(request));
   }
-  void answered(Player& player, std::string_view text) {
+  void onAnswer(Player& player, std::string_view text) {
     const websocket::AnswerMessage answer = websocket::readAnswer(text);
     if (answer.kind == websocket::AnswerKind::rung || answer.kind == websocket::AnswerKind::ended) return;
-    const auto it = sent.find(answer.id);
-    if (it == sent.end()) return;
+    const auto it = sentAt.find(answer.id);
+    if (it == sentAt.end()) return;
     answerTimes.push_back(net::monotonicNow() - it->second);
-    sent.erase(it);
+    sentAt.erase(it);
     ++answers;
     if (answer.kind != websocket::AnswerKind::playing) return;
     ++playing;
@@ -223,7 +243,8 @@
   }
 };
 
-Micros part(std::vector<Micros> values, double share) {
+// The value below which this share of the values lies.
+Micros percentile(std::vector<Micros> values, double share) {
   if (values.empty()) return 0;
   const auto at =
       std::min(values.size() - 1, static_cast<std::size_t>(share * static_cast<double>(values.size())));
@@ -231,41 +252,46 @@
   return values[at];
 }
 
-struct Step {
-  double rate = 0, cpuMicros = 0, playing = 0, cores = 0;
-  Micros join50 = 0, join99 = 0, answer99 = 0;
+// The outcome of one step at a constant rate.
+struct Measurement {
+  double rate = 0;       // requests a second
+  double cpuMicros = 0;  // CPU time of the director per answered request
+  double playing = 0;    // share of requests that were served
+  double cores = 0;      // CPU time of the director per second
+  Micros joinP50 = 0, joinP99 = 0, answerP99 = 0;
 };
 
-Step step(Peers& peers, const Program& program, double rate, double seconds) {
-  peers.spin(300'000);
-  peers.sent.clear(), peers.joinTimes.clear(), peers.answerTimes.clear();
-  peers.answers = peers.playing = 0;
-  const double cpu = program.cpuSeconds();
+// Sends requests at a constant rate for some seconds.
+Measurement measure(LoadGenerator& generator, const DirectorProcess& program, double rate, double seconds) {
+  generator.runFor(stepPause);
+  generator.sentAt.clear(), generator.joinTimes.clear(), generator.answerTimes.clear();
+  generator.answers = generator.playing = 0;
+  const double cpuBefore = program.cpuSeconds();
   const Micros start = net::monotonicNow();
-  double asked = 0;
-  // Open loop: asks are due by the clock, however late the answers are.
+  double sent = 0;
+  // Open-loop load: requests are sent by the clock, however late the answers are.
   while (true) {
     const double elapsed = static_cast<double>(net::monotonicNow() - start) / 1e6;
     if (elapsed >= seconds) break;
-    for (; asked < elapsed * rate; ++asked) peers.ask();
-    peers.spin(500);
+    for (; sent < elapsed * rate; ++sent) generator.sendRequest();
+    generator.runFor(sendInterval);
   }
-  peers.spin(500'000);
-  const double used = program.cpuSeconds() - cpu;
-  const double n = std::max<double>(1, static_cast<double>(peers.answers));
-  return {asked / seconds,
-          used / n * 1e6,
-          static_cast<double>(peers.playing) / std::max(1.0, asked),
-          used / seconds,
-          part(peers.joinTimes, 0.5),
-          part(peers.joinTimes, 0.99),
-          part(peers.answerTimes, 0.99)};
+  generator.runFor(answerWait);
+  const double cpuUsed = program.cpuSeconds() - cpuBefore;
+  const double answered = std::max<double>(1, static_cast<double>(generator.answers));
+  return {sent / seconds,
+          cpuUsed / answered * 1e6,
+          static_cast<double>(generator.playing) / std::max(1.0, sent),
+          cpuUsed / seconds,
+          percentile(generator.joinTimes, 0.5),
+          percentile(generator.joinTimes, 0.99),
+          percentile(generator.answerTimes, 0.99)};
 }
 
-void row(const char* who, const Step& s) {
-  std::printf("%-14s %8.0f %9.1f%% %8.0f %8.2f %9.2f %9.2f %10.2f\n", who, s.rate, 100 * s.playing,
-              s.cpuMicros, s.cores, static_cast<double>(s.join50) / 1000,
-              static_cast<double>(s.join99) / 1000, static_cast<double>(s.answer99) / 1000);
+void printRow(const char* name, const Measurement& s) {
+  std::printf("%-14s %8.0f %9.1f%% %8.0f %8.2f %9.2f %9.2f %10.2f\n", name, s.rate, 100 * s.playing,
+              s.cpuMicros, s.cores, static_cast<double>(s.joinP50) / 1000,
+              static_cast<double>(s.joinP99) / 1000, static_cast<double>(s.answerP99) / 1000);
   std::fflush(stdout);
 }
 
@@ -274,15 +300,17 @@
 int main(int argc, char** argv) {
   CLI::App app{"Load on one director over loopback"};
   std::string program = "build/lupinsill";
-  double seconds = 3, limitMs = 5, most = 16'000, paidShare = 0;
+  double seconds = 3, limitMs = 5, maxRate = 16'000, paidShare = 0;
   std::size_t idle = 10'000;
   app.add_option("--program", program)->capture_default_str();
-  app.add_option("--seconds", seconds, "Of each step")->capture_default_str();
-  app.add_option("--limit-ms", limitMs, "Of the 99th percentile of ask to first join")->capture_default_str();
-  app.add_option("--most", most, "Asks a second at most")->capture_default_str();
-  app.add_option("--paid-share", paidShare, "Of asks; over 0, compares without and with a ledger instead")
+  app.add_option("--seconds", seconds, "Length of each step, seconds")->capture_default_str();
+  app.add_option("--limit-ms", limitMs, "Limit of the 99th percentile of request to first join, ms")
       ->capture_default_str();
-  app.add_option("--idle", idle, "Idle players to open")->capture_default_str();
+  app.add_option("--most", maxRate, "Highest rate, requests a second")->capture_default_str();
+  app.add_option("--paid-share", paidShare,
+                 "Share of paid requests; over 0, compares without and with a ledger instead")
+      ->capture_default_str();
+  app.add_option("--idle", idle, "Number of idle players to open")->capture_default_str();
   CLI11_PARSE(app, argc, argv);
   if (sodium_init() < 0) return 3;
   rlimit files{};
@@ -292,39 +320,41 @@
   try {
     std::printf("%-14s %8s %10s %8s %8s %9s %9s %10s\n", "policy", "asks/s", "playing", "us CPU", "cores",
                 "join p50", "join p99", "answer p99");
-    std::map<std::string, double> carried, cpu;
-    // The two in turn at each rate, so that a slow moment of the machine meets both.
-    Peers peersA, peersB;
+    std::map<std::string, double> highestRate, cpu;
+    // The two directors take turns at each rate, so that a slow moment of the machine affects both.
+    LoadGenerator generatorA, generatorB;
     const bool ledger = paidShare > 0;
     const char *nameA = ledger ? "no-ledger" : "module", *nameB = ledger ? "ledger" : "first-open";
-    peersA.paidShare = peersB.paidShare = paidShare;
-    const Program module(program, "", peersA.ports);
-    const Program plain(program, ledger ? "" : "first-open", peersB.ports, ledger);
-    peersA.open(module, sockets), peersB.open(plain, sockets);
-    bool goA = true, goB = true;
-    for (double rate = 500; rate <= most && (goA || goB); rate *= 1.5) {
-      const auto one = [&](const char* who, Peers& peers, const Program& p, bool& go) {
-        if (!go) return;
-        const Step s = step(peers, p, rate, seconds);
-        row(who, s);
-        go = static_cast<double>(s.join99) / 1000 <= limitMs;
-        if (go) carried[who] = s.rate, cpu[who] = s.cpuMicros;
+    generatorA.paidShare = generatorB.paidShare = paidShare;
+    const DirectorProcess module(program, "", generatorA.ports);
+    const DirectorProcess baseline(program, ledger ? "" : "first-open", generatorB.ports, ledger);
+    generatorA.open(module, playerSockets), generatorB.open(baseline, playerSockets);
+    bool activeA = true, activeB = true;
+    for (double rate = firstRate; rate <= maxRate && (activeA || activeB); rate *= rateGrowth) {
+      const auto runRate = [&](const char* name, LoadGenerator& generator, const DirectorProcess& p,
+                               bool& active) {
+        if (!active) return;
+        const Measurement s = measure(generator, p, rate, seconds);
+        printRow(name, s);
+        active = static_cast<double>(s.joinP99) / 1000 <= limitMs;
+        if (active) highestRate[name] = s.rate, cpu[name] = s.cpuMicros;
       };
-      one(nameA, peersA, module, goA);
-      one(nameB, peersB, plain, goB);
+      runRate(nameA, generatorA, module, activeA);
+      runRate(nameB, generatorB, baseline, activeB);
     }
-    std::printf("carried under %.0f ms: %s %.0f/s, %s %.0f/s\n", limitMs, nameA, carried[nameA], nameB,
-                carried[nameB]);
-    const Step a = step(peersA, module, 1000, seconds), b = step(peersB, plain, 1000, seconds);
-    std::printf("CPU an ask at 1000/s: %s %.0f us, %s %.0f us, ratio %.2f\n", nameA, a.cpuMicros, nameB,
+    std::printf("highest rate under %.0f ms: %s %.0f/s, %s %.0f/s\n", limitMs, nameA, highestRate[nameA],
+                nameB, highestRate[nameB]);
+    const Measurement a = measure(generatorA, module, cpuRate, seconds),
+                      b = measure(generatorB, baseline, cpuRate, seconds);
+    std::printf("CPU per request at 1000/s: %s %.0f us, %s %.0f us, ratio %.2f\n", nameA, a.cpuMicros, nameB,
                 b.cpuMicros, a.cpuMicros / b.cpuMicros);
     if (idle > 0) {
-      Peers peers;
-      const Program third(program, "", peers.ports);
-      peers.spin(500'000);
-      const double before = third.residentKb();
-      peers.open(third, idle);
-      const double after = third.residentKb();
+      LoadGenerator generator;
+      const DirectorProcess director(program, "", generator.ports);
+      generator.runFor(500'000);
+      const double before = director.residentKb();
+      generator.open(director, idle);
+      const double after = director.residentKb();
       std::printf("idle players: %zu open, %.1f kB each (%.0f MB in all)\n", idle,
                   (after - before) / static_cast<double>(idle), after / 1000);
     }
