--- a/bench/load.cpp
+++ b/bench/load.cpp
@@ -34,12 +34,13 @@
 constexpr Micros openPollInterval = 50'000;
 constexpr std::size_t openBatch = 100;  // sockets opened before the event loop runs
 constexpr Micros openBatchPause = 20'000;
-constexpr Micros stepPause = 300'000;   // before each step
-constexpr Micros sendInterval = 500;    // requests that are due are sent this often
-constexpr Micros answerWait = 500'000;  // for the last answers of a step
-constexpr double firstRate = 500;       // requests a second
-constexpr double rateGrowth = 1.5;      // from step to step
-constexpr double cpuRate = 1'000;       // at which CPU times are compared
+constexpr Micros stepPause = 300'000;       // before each step
+constexpr Micros sendInterval = 500;        // requests that are due are sent this often
+constexpr Micros answerWait = 500'000;      // for the last answers of a step
+constexpr Micros idleSettleTime = 500'000;  // before the memory of idle players is measured
+constexpr double firstRate = 500;           // requests a second
+constexpr double rateGrowth = 1.5;          // from step to step
+constexpr double cpuRate = 1'000;           // at which CPU times are compared
 constexpr std::size_t playerSockets = 400;
 
 // A director running as a subprocess with a temporary folder of its own.
@@ -351,7 +352,7 @@
     if (idle > 0) {
       LoadGenerator generator;
       const DirectorProcess director(program, "", generator.ports);
-      generator.runFor(500'000);
+      generator.runFor(idleSettleTime);
       const double before = director.residentKb();
       generator.open(director, idle);
       const double after = director.residentKb();
--- a/src/lab/clients.cpp
+++ b/src/lab/clients.cpp
@@ -36,6 +36,7 @@
 constexpr int stormRequestIntervalMicros = 10'000;
 constexpr Micros stormClientTimeout = 5'000'000;  // of each request
 constexpr int unlimitedRetries = 1'000'000;       // a retry budget that is never used up
+constexpr std::uint64_t stormSeed = 7;
 constexpr int sequenceRetries = 20;
 constexpr int naiveAttempts = 3;
 constexpr int unlimitedAttempts = 1'000;
@@ -294,7 +295,7 @@
   client::SessionClient sessionClient(
       fleet.base(),
       std::make_unique<CountingTransport>(client::makeWebSocket(fleet.base()), storm.requestsSent),
-      fleet.directors(false), policy, 7);
+      fleet.directors(false), policy, stormSeed);
   int submitted = 0, completed = 0;
   const Micros start = net::monotonicNow();
   fleet.runUntil(
--- a/src/lab/processes.h
+++ b/src/lab/processes.h
@@ -54,12 +54,15 @@
   // did not exit in time.
   bool terminateAll();
   const std::vector<DirectorProcess>& directors() const { return directors_; }
+  // The node list that all directors read.
   std::string listFile() const { return folder_ + "/nodes.xml"; }
   // CPU time of all processes that have ended.
   double cpuSeconds() const { return cpuSeconds_; }
 
  private:
+  // Writes the settings of a director: those of the day with its own name, zone, ports and paths.
   void writeSettings(int directorIndex);
+  // Waits for an exited process and adds its CPU time.
   void reap(pid_t pid);
   bool grpc_;
   const Day& day_;
