--- a/src/lab/players.cpp
+++ b/src/lab/players.cpp
@@ -17,9 +17,7 @@
 constexpr Micros garbageTimeout = 3'000'000;    // for the director to close after malformed bytes
 constexpr Micros endWait = 2'000'000;           // for the director to announce the end of a stream
 constexpr Micros minRemainingLength = 500'000;  // a viewer with less left makes no new attempt
-constexpr Micros minStreamLength = 200'000;
 constexpr Micros unknownViewerLength = 1'000'000;
-constexpr Micros minRequestedLength = 1'000;
 
 }  // namespace
 
@@ -69,8 +67,9 @@
 
 Micros PlayerPool::remainingLength(const std::string& viewer) const {
   const auto it = players_.find(std::atoi(viewer.c_str() + 1));
+  // At least 200 ms, also when the viewer's time is nearly over.
   return it == players_.end() ? unknownViewerLength
-                              : std::max<Micros>(minStreamLength, it->second->endsAt - context_.now());
+                              : std::max<Micros>(200'000, it->second->endsAt - context_.now());
 }
 
 bool PlayerPool::metJoinObjective(const std::string& viewer, int roomType) const {
@@ -145,7 +144,8 @@
   message.title = "t" + std::to_string(player.arrival.title);
   message.room = deployment.roomTypes[room];
   message.top = player.arrival.top;
-  message.length = std::max<Micros>(minRequestedLength, player.endsAt - now);
+  // At least 1 ms: a request needs a positive length.
+  message.length = std::max<Micros>(1'000, player.endsAt - now);
   if (again) message.previousDirector = "d" + std::to_string(player.directorIndex);
   audit::AskSeen seen;
   seen.at = now;
