--- a/src/lab/clients.cpp
+++ b/src/lab/clients.cpp
@@ -63,7 +63,9 @@
   struct CountingLink final : client::Link {
     CountingLink(std::unique_ptr<client::Link> link, std::uint64_t& requests)
         : inner(std::move(link)), requestCount(requests) {}
-    void ask(const session_api::PlayMessage& message) override { ++requestCount, inner->ask(message); }
+    void sendPlay(const session_api::PlayMessage& message) override {
+      ++requestCount, inner->sendPlay(message);
+    }
     void leave() override { inner->leave(); }
     bool flushed() const override { return inner->flushed(); }
     std::unique_ptr<client::Link> inner;
@@ -153,7 +155,7 @@
 
 client::RetryPolicy localRetryPolicy() {
   client::RetryPolicy policy;
-  policy.building = "here";
+  policy.zone = "here";
   return policy;
 }
 // Sequences test repeated requests and need retries; the retry storms test the budget.
@@ -180,15 +182,15 @@
   void next() {
     if (played.results.size() == sequence.wishes.size()) return;
     const client_script::WishLine& wish = sequence.wishes[played.results.size()];
-    client::Want want;
-    want.viewer = name + "-" + std::to_string(sequence.number);
-    want.title = wish.title + "." + name;
-    want.room = wish.room;
-    want.unsafe = wish.paid;
-    want.timeout = wish.timeout;
-    client.ask(want, [this](client::RequestId id, const client::Heard& heard) {
-      if (heard.result == client::Result::playing) client.leave(id);
-      played.results.emplace_back(nameOf(heard.result));
+    client::SubscriptionRequest request;
+    request.viewer = name + "-" + std::to_string(sequence.number);
+    request.title = wish.title + "." + name;
+    request.room = wish.room;
+    request.unsafe = wish.paid;
+    request.timeout = wish.timeout;
+    client.subscribe(request, [this](client::RequestId id, const client::SubscriptionResult& answer) {
+      if (answer.result == client::Result::playing) client.leave(id);
+      played.results.emplace_back(nameOf(answer.result));
       next();
     });
   }
@@ -302,17 +304,18 @@
       [&] {
         while (submitted < requests &&
                net::monotonicNow() - start >= submitted * stormRequestIntervalMicros) {
-          client::Want want;
-          want.viewer = clientName + std::to_string(submitted);
-          want.title = plan + "." + std::to_string(submitted++) + "." + clientName;
-          want.room = "recipe-clip";
-          want.timeout = stormClientTimeout;
-          sessionClient.ask(want, [&](client::RequestId id, const client::Heard& heard) {
-            ++completed;
-            if (heard.result != client::Result::playing) return;
-            ++storm.playing;
-            sessionClient.leave(id);
-          });
+          client::SubscriptionRequest request;
+          request.viewer = clientName + std::to_string(submitted);
+          request.title = plan + "." + std::to_string(submitted++) + "." + clientName;
+          request.room = "recipe-clip";
+          request.timeout = stormClientTimeout;
+          sessionClient.subscribe(request,
+                                  [&](client::RequestId id, const client::SubscriptionResult& answer) {
+                                    ++completed;
+                                    if (answer.result != client::Result::playing) return;
+                                    ++storm.playing;
+                                    sessionClient.leave(id);
+                                  });
         }
         return completed == requests;
       },
