--- a/src/lab/import.cpp
+++ b/src/lab/import.cpp
@@ -165,7 +165,7 @@
       const std::string name = t.at("kind").get<std::string>();
       const auto mapping = kindMappings().find(name);
       if (mapping == kindMappings().end()) {
-        summary << "left out: a trouble of kind " << name << " has no counterpart in the lab\n";
+        summary << "left out: a fault of kind " << name << " has no counterpart in the lab\n";
         continue;
       }
       ++imported;
--- a/src/lab/plant.cpp
+++ b/src/lab/plant.cpp
@@ -198,7 +198,7 @@
       {"cold-burst", 4, "while a node is cold, every join goes there"},
       {"seat-over", 5, "seats are not counted"},
       {"floor-under", 5, "every rung is the lowest"},
-      {"budget-over", 6, "safe joins time out after 3 ms and are retried without a budget"},
+      {"budget-over", 6, "repeatable joins time out after 3 ms and are retried without a budget"},
   };
   return all;
 }
