--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -70,7 +70,7 @@
 
 int runLab(const lab::RunOptions& options) {
   const lab::RunResult result = lab::runDay(options);
-  std::fputs(lab::shown(result).c_str(), stdout);
+  std::fputs(lab::formatReport(result).c_str(), stdout);
   if (!options.plant.empty()) {
     const lab::Plant& plant = *lab::findPlant(options.plant);
     const bool caught = result.rows[static_cast<std::size_t>(plant.rule - 1)].violations > 0;
@@ -119,7 +119,7 @@
 
 int playClients(const lab::ClientsOptions& options) {
   const lab::ClientsResult result = lab::runClients(options);
-  std::fputs(lab::shown(result).c_str(), stdout);
+  std::fputs(lab::formatReport(result).c_str(), stdout);
   if (!options.plant.empty()) {
     std::printf("plant %s: %s\n", options.plant.c_str(), result.findings.empty() ? "NOT caught" : "caught");
     return result.findings.empty() ? exitEnvironment : exitFaultFound;
--- a/src/lab/clients.cpp
+++ b/src/lab/clients.cpp
@@ -27,42 +27,60 @@
 namespace {
 
 constexpr int nodeCount = 200;
-constexpr int atOnce = 16;
-constexpr Micros pause = 400'000;      // after a sequence in which a director died
-constexpr Micros settled = 4'000'000;  // after a ledger was new
-constexpr Micros longest = 900'000'000;
+constexpr int maxConcurrentSequences = 16;
+constexpr Micros restartPause = 400'000;         // after a sequence in which a director died
+constexpr Micros ledgerDoubtPeriod = 4'000'000;  // in which a director with a new ledger doubts keys
+constexpr Micros scriptTimeout = 900'000'000;    // for all sequences of one library
+constexpr Micros startUpTimeout = 10'000'000;    // for the directors to listen
+constexpr Micros stormTimeout = 30'000'000;
+constexpr int stormRequestIntervalMicros = 10'000;
+constexpr Micros stormClientTimeout = 5'000'000;  // of each request
+constexpr int unlimitedRetries = 1'000'000;       // a retry budget that is never used up
+constexpr std::uint64_t stormSeed = 7;
+constexpr int sequenceRetries = 20;
+constexpr int naiveAttempts = 3;
+constexpr int unlimitedAttempts = 1'000;
 
-// Passes everything on and counts the asks: what a library does, not what it says of itself.
-class Counted final : public client::Transport {
+// Exit codes of a child whose set-up failed before the program was executed, and whose program could not be
+// executed.
+constexpr int setUpFailedExit = 9;
+constexpr int execFailedExit = 127;
+
+// Counts the requests that pass through another transport. This is independent of what a library reports.
+class CountingTransport final : public client::Transport {
  public:
-  Counted(std::unique_ptr<client::Transport> inner, std::uint64_t& asks)
-      : inner_(std::move(inner)), asks_(asks) {}
+  CountingTransport(std::unique_ptr<client::Transport> inner, std::uint64_t& requests)
+      : inner_(std::move(inner)), requests_(requests) {}
   std::unique_ptr<client::Link> open(const std::string& address, Micros timeLeft,
                                      client::LinkHandler& handler) override {
     auto link = inner_->open(address, timeLeft, handler);
     if (!link) return nullptr;
-    return std::make_unique<One>(std::move(link), asks_);
+    return std::make_unique<CountingLink>(std::move(link), requests_);
   }
   void tick(Micros now) override { inner_->tick(now); }
 
  private:
-  struct One final : client::Link {
-    One(std::unique_ptr<client::Link> link, std::uint64_t& asks) : inner(std::move(link)), count(asks) {}
-    void sendPlay(const session_api::PlayMessage& message) override { ++count, inner->sendPlay(message); }
+  struct CountingLink final : client::Link {
+    CountingLink(std::unique_ptr<client::Link> link, std::uint64_t& requests)
+        : inner(std::move(link)), requestCount(requests) {}
+    void sendPlay(const session_api::PlayMessage& message) override {
+      ++requestCount, inner->sendPlay(message);
+    }
     void leave() override { inner->leave(); }
     bool flushed() const override { return inner->flushed(); }
     std::unique_ptr<client::Link> inner;
-    std::uint64_t& count;
+    std::uint64_t& requestCount;
   };
   std::unique_ptr<client::Transport> inner_;
-  std::uint64_t& asks_;
+  std::uint64_t& requests_;
 };
 
+// Two directors and the counting nodes. Restarts directors that die.
 class Fleet {
  public:
   Fleet(const ClientsOptions& options, std::string folder)
       : base_(event_base_new()),
-        nodes_(base_.get(), nodeCount, [this](const std::string& d, bool wipe) { killAt(d, wipe); }) {
+        nodes_(base_.get(), nodeCount, [this](const std::string& d, bool wipe) { killDirector(d, wipe); }) {
     day_.settingsFile = options.settingsFile;
     day_.directors = 2;
     day_.zones = 1;
@@ -70,41 +88,45 @@
     processes_ = std::make_unique<Processes>(day_, std::move(folder),
                                              std::vector<std::string>{"--plant", hooks}, true);
     std::ofstream(processes_->listFile()) << nodes_.list(1);
-    for (int place = 0; place < day_.directors; ++place) processes_->start(place);
-    until([this] { return up(); }, 10'000'000);
+    for (int directorIndex = 0; directorIndex < day_.directors; ++directorIndex)
+      processes_->start(directorIndex);
+    runUntil([this] { return up(); }, startUpTimeout);
     if (!up()) throw std::runtime_error("a director did not come up; see its log with --keep");
-    processes_->keepPorts();
-    for (const Place& place : processes_->places()) ports_.push_back({place.players, place.grpc});
+    processes_->fixPorts();
+    for (const DirectorProcess& process : processes_->directors())
+      ports_.push_back({process.playersPort, process.grpcPort});
   }
 
   bool up() const {
-    return std::all_of(processes_->places().begin(), processes_->places().end(),
-                       [](const Place& p) { return p.players != 0; });
+    return std::all_of(processes_->directors().begin(), processes_->directors().end(),
+                       [](const DirectorProcess& p) { return p.playersPort != 0; });
   }
-  // Turns the loop until it is so, and starts what died.
-  template <class Enough>
-  void until(Enough enough, Micros most) {
+  // Runs the event loop until the condition holds or the timeout has passed, and restarts directors that
+  // died.
+  template <class Condition>
+  void runUntil(Condition condition, Micros timeout) {
     const Micros start = net::monotonicNow();
-    while (!enough() && net::monotonicNow() - start < most) {
+    while (!condition() && net::monotonicNow() - start < timeout) {
       const timeval wait{0, 5'000};
       event_base_loopexit(base_.get(), &wait);
       event_base_dispatch(base_.get());
-      for (const int place : processes_->ended()) {
-        if (wipes_.erase(place) != 0) {
-          const std::string folder = processes_->places()[static_cast<std::size_t>(place)].folder;
+      for (const int directorIndex : processes_->reapExited()) {
+        if (ledgersToWipe_.erase(directorIndex) != 0) {
+          const std::string folder = processes_->directors()[static_cast<std::size_t>(directorIndex)].folder;
           for (const auto& entry : std::filesystem::directory_iterator(folder))
             if (entry.path().filename().string().find("ledger") != std::string::npos)
               std::filesystem::remove(entry.path());
         }
-        processes_->start(place);
+        processes_->start(directorIndex);
       }
-      processes_->look();
+      processes_->readPorts();
     }
   }
-  // Keys that may be older than a ledger are doubted; young ones are, for a client timeout after it was new.
-  void settle() {
-    const Micros born = net::monotonicNow();
-    until([&] { return net::monotonicNow() - born > settled; }, 2 * settled);
+  // A director can't tell whether a key that may be older than its new ledger was used before, and doubts it.
+  // Waits until new keys are certainly younger than the ledgers.
+  void waitUntilLedgersTrusted() {
+    const Micros start = net::monotonicNow();
+    runUntil([&] { return net::monotonicNow() - start > ledgerDoubtPeriod; }, 2 * ledgerDoubtPeriod);
   }
   std::vector<client::DirectorEndpoint> directors(bool grpc) const {
     std::vector<client::DirectorEndpoint> out;
@@ -114,13 +136,13 @@
   }
   event_base* base() const { return base_.get(); }
   const CountingNodes& nodes() const { return nodes_; }
-  void end() { processes_->end(); }
+  void end() { processes_->terminateAll(); }
 
  private:
-  void killAt(const std::string& director, bool wipe) {
-    const int place = director == "d1" ? 1 : 0;
-    if (wipe) wipes_.insert(place);
-    processes_->kill(place);
+  void killDirector(const std::string& director, bool wipe) {
+    const int directorIndex = director == "d1" ? 1 : 0;
+    if (wipe) ledgersToWipe_.insert(directorIndex);
+    processes_->kill(directorIndex);
   }
 
   net::EventBase base_;
@@ -128,46 +150,47 @@
   Day day_;
   std::unique_ptr<Processes> processes_;
   std::vector<std::pair<int, int>> ports_;
-  std::set<int> wipes_;
+  std::set<int> ledgersToWipe_;
 };
 
-client::RetryPolicy manners() {
-  client::RetryPolicy out;
-  out.zone = "here";
-  return out;
+client::RetryPolicy localRetryPolicy() {
+  client::RetryPolicy policy;
+  policy.zone = "here";
+  return policy;
 }
-// Sequences are about repeats; what the budget does is seen in the storms.
-client::RetryPolicy patient() {
-  client::RetryPolicy out = manners();
-  out.minRetries = 20;
-  return out;
+// Sequences test repeated requests and need retries; the retry storms test the budget.
+client::RetryPolicy sequenceRetryPolicy() {
+  client::RetryPolicy policy = localRetryPolicy();
+  policy.minRetries = sequenceRetries;
+  return policy;
 }
 
-// One sequence through the C++ library: its wishes one after the other, a client of its own.
-struct Playing {
-  Playing(Fleet& fleet, const client_script::Sequence& what, const std::string& library, std::uint64_t& asks)
-      : sequence(what),
+// Plays one sequence through the C++ library: its requests one after the other, with a client of its own.
+struct SequencePlayer {
+  SequencePlayer(Fleet& fleet, const client_script::Sequence& script, const std::string& library,
+                 std::uint64_t& requestCount)
+      : sequence(script),
         name(library),
         client(fleet.base(),
-               std::make_unique<Counted>(
+               std::make_unique<CountingTransport>(
                    library == "grpc" ? client::makeGrpc(fleet.base()) : client::makeWebSocket(fleet.base()),
-                   asks),
-               fleet.directors(library == "grpc"), patient(), what.seed) {
-    played.sequence = what.number;
+                   requestCount),
+               fleet.directors(library == "grpc"), sequenceRetryPolicy(), script.seed) {
+    played.sequence = script.number;
     next();
   }
   void next() {
-    if (played.results.size() == sequence.requests.size()) return;
-    const client_script::ScriptedRequest& wish = sequence.requests[played.results.size()];
-    client::SubscriptionRequest want;
-    want.viewer = name + "-" + std::to_string(sequence.number);
-    want.title = wish.title + "." + name;
-    want.room = wish.room;
-    want.unsafe = wish.paid;
-    want.timeout = wish.timeout;
-    client.subscribe(want, [this](client::RequestId id, const client::SubscriptionResult& heard) {
-      if (heard.result == client::Result::playing) client.leave(id);
-      played.results.emplace_back(nameOf(heard.result));
+    if (played.results.size() == sequence.wishes.size()) return;
+    const client_script::WishLine& wish = sequence.wishes[played.results.size()];
+    client::SubscriptionRequest request;
+    request.viewer = name + "-" + std::to_string(sequence.number);
+    request.title = wish.title + "." + name;
+    request.room = wish.room;
+    request.unsafe = wish.paid;
+    request.timeout = wish.timeout;
+    client.subscribe(request, [this](client::RequestId id, const client::SubscriptionResult& answer) {
+      if (answer.result == client::Result::playing) client.leave(id);
+      played.results.emplace_back(nameOf(answer.result));
       next();
     });
   }
@@ -178,77 +201,78 @@
   client::SessionClient client;
 };
 
-bool kills(const client_script::Sequence& sequence) {
-  return std::any_of(sequence.requests.begin(), sequence.requests.end(),
-                     [](const client_script::ScriptedRequest& wish) {
-                       const client_script::FaultPlan* plan = client_script::findFaultPlan(wish.title);
-                       return plan != nullptr && plan->killsDirector;
-                     });
+bool killsDirector(const client_script::Sequence& sequence) {
+  return std::any_of(sequence.wishes.begin(), sequence.wishes.end(), [](const client_script::WishLine& wish) {
+    const client_script::Plan* plan = client_script::planOf(wish.title);
+    return plan != nullptr && plan->kills;
+  });
 }
 
-void playHere(Fleet& fleet, const std::vector<client_script::Sequence>& all,
-              client_script::LibraryRun& library) {
-  for (const bool deadly : {false, true}) {
+// Plays the sequences through a C++ library: first those that kill no director, several at a time, then the
+// others one by one, each after the directors are up again.
+void playInProcess(Fleet& fleet, const std::vector<client_script::Sequence>& sequences,
+                   client_script::Library& library) {
+  for (const bool killsOnly : {false, true}) {
     std::deque<const client_script::Sequence*> waiting;
-    for (const client_script::Sequence& sequence : all)
-      if (kills(sequence) == deadly) waiting.push_back(&sequence);
-    std::vector<std::unique_ptr<Playing>> out;
+    for (const client_script::Sequence& sequence : sequences)
+      if (killsDirector(sequence) == killsOnly) waiting.push_back(&sequence);
+    std::vector<std::unique_ptr<SequencePlayer>> players;
     bool wiped = false;
-    fleet.until(
+    fleet.runUntil(
         [&] {
-          std::erase_if(out, [&](const std::unique_ptr<Playing>& one) {
+          std::erase_if(players, [&](const std::unique_ptr<SequencePlayer>& one) {
             if (!one->done()) return false;
             library.played[one->sequence.number] = one->played;
             return true;
           });
-          if (deadly && out.empty() && !waiting.empty()) {
-            const Micros from = net::monotonicNow(), span = wiped ? settled : pause;
-            fleet.until([&] { return fleet.up() && net::monotonicNow() - from >= span; }, 10'000'000);
-            wiped = waiting.front()->requests.front().title.starts_with("wipe");
+          if (killsOnly && players.empty() && !waiting.empty()) {
+            const Micros from = net::monotonicNow(), span = wiped ? ledgerDoubtPeriod : restartPause;
+            fleet.runUntil([&] { return fleet.up() && net::monotonicNow() - from >= span; }, startUpTimeout);
+            wiped = waiting.front()->wishes.front().title.starts_with("wipe");
           }
-          while (out.size() < (deadly ? 1 : atOnce) && !waiting.empty()) {
-            out.push_back(
-                std::make_unique<Playing>(fleet, *waiting.front(), library.name, library.requestsSent));
+          while (players.size() < (killsOnly ? 1 : maxConcurrentSequences) && !waiting.empty()) {
+            players.push_back(
+                std::make_unique<SequencePlayer>(fleet, *waiting.front(), library.name, library.asks));
             waiting.pop_front();
           }
-          return out.empty();
+          return players.empty();
         },
-        longest);
+        scriptTimeout);
   }
 }
 
-// The library of the website, as a process of its own.
-void playThere(Fleet& fleet, const std::vector<client_script::Sequence>& all, const std::string& player,
-               const std::string& folder, client_script::LibraryRun& library) {
+// Plays the sequences through the TypeScript library, in a subprocess.
+void playTypeScript(Fleet& fleet, const std::vector<client_script::Sequence>& sequences,
+                    const std::string& player, const std::string& folder, client_script::Library& library) {
   std::string addresses;
   for (const client::DirectorEndpoint& at : fleet.directors(false))
     addresses += (addresses.empty() ? "" : ",") + at.address;
-  for (const bool deadly : {false, true}) {
+  for (const bool killsOnly : {false, true}) {
     const std::string scriptFile = folder + "/script", playedFile = folder + "/played";
     {
-      std::ofstream out(scriptFile);
-      for (const client_script::Sequence& sequence : all)
-        if (kills(sequence) == deadly) out << client_script::toLine(sequence) << "\n";
+      std::ofstream script(scriptFile);
+      for (const client_script::Sequence& sequence : sequences)
+        if (killsDirector(sequence) == killsOnly) script << client_script::lineOf(sequence) << "\n";
     }
-    const std::string many = std::to_string(deadly ? 1 : atOnce),
-                      wait = std::to_string(deadly ? pause / 1000 : 0);
+    const std::string concurrency = std::to_string(killsOnly ? 1 : maxConcurrentSequences),
+                      wait = std::to_string(killsOnly ? restartPause / 1000 : 0);
     const pid_t lab = getpid();
     const pid_t pid = fork();
     if (pid < 0) throw std::runtime_error("fork failed");
     if (pid == 0) {
       prctl(PR_SET_PDEATHSIG, SIGKILL);
-      if (getppid() != lab) _exit(9);
+      if (getppid() != lab) _exit(setUpFailedExit);
       const int fd = open(playedFile.c_str(), O_WRONLY | O_CREAT | O_TRUNC, 0644);
       if (fd >= 0) dup2(fd, 1);
       execlp("node", "node", player.c_str(), scriptFile.c_str(), addresses.c_str(), library.name.c_str(),
-             many.c_str(), wait.c_str(), nullptr);
-      _exit(127);
+             concurrency.c_str(), wait.c_str(), nullptr);
+      _exit(execFailedExit);
     }
     int status = 0;
-    bool over = false;
-    fleet.until([&] { return over = over || waitpid(pid, &status, WNOHANG) == pid; }, longest);
-    if (!over) kill(pid, SIGKILL), waitpid(pid, &status, 0);
-    if (!over || status != 0)
+    bool exited = false;
+    fleet.runUntil([&] { return exited = exited || waitpid(pid, &status, WNOHANG) == pid; }, scriptTimeout);
+    if (!exited) kill(pid, SIGKILL), waitpid(pid, &status, 0);
+    if (!exited || status != 0)
       throw std::runtime_error("node " + player + " did not play the script to its end");
     std::ifstream in(playedFile);
     for (std::string line; std::getline(in, line);) {
@@ -258,40 +282,45 @@
   }
 }
 
-Storm storm(Fleet& fleet, const std::string& who, const std::string& plan, double share,
-            const client::RetryPolicy& how, bool budgeted, int wishes) {
-  Storm out;
-  out.who = who;
-  out.plan = plan;
-  out.share = share;
-  out.wishes = wishes;
-  const client::RetryPolicy usual = manners();
-  if (budgeted)
-    out.askMost = static_cast<std::uint64_t>(wishes + usual.minRetries + usual.budgetShare * wishes);
-  client::SessionClient crowd(fleet.base(),
-                              std::make_unique<Counted>(client::makeWebSocket(fleet.base()), out.asks),
-                              fleet.directors(false), how, 7);
-  int asked = 0, over = 0;
+// Submits requests at a constant rate to one client while the directors fail them as the plan says.
+RetryStorm runRetryStorm(Fleet& fleet, const std::string& clientName, const std::string& plan, double share,
+                         const client::RetryPolicy& policy, bool hasBudget, int requests) {
+  RetryStorm storm;
+  storm.client = clientName;
+  storm.plan = plan;
+  storm.share = share;
+  storm.requests = requests;
+  const client::RetryPolicy defaultPolicy = localRetryPolicy();
+  if (hasBudget)
+    storm.maxRequestsSent = static_cast<std::uint64_t>(requests + defaultPolicy.minRetries +
+                                                       defaultPolicy.budgetShare * requests);
+  client::SessionClient sessionClient(
+      fleet.base(),
+      std::make_unique<CountingTransport>(client::makeWebSocket(fleet.base()), storm.requestsSent),
+      fleet.directors(false), policy, stormSeed);
+  int submitted = 0, completed = 0;
   const Micros start = net::monotonicNow();
-  fleet.until(
+  fleet.runUntil(
       [&] {
-        while (asked < wishes && net::monotonicNow() - start >= asked * 10'000) {
-          client::SubscriptionRequest want;
-          want.viewer = who + std::to_string(asked);
-          want.title = plan + "." + std::to_string(asked++) + "." + who;
-          want.room = "recipe-clip";
-          want.timeout = 5'000'000;
-          crowd.subscribe(want, [&](client::RequestId id, const client::SubscriptionResult& heard) {
-            ++over;
-            if (heard.result != client::Result::playing) return;
-            ++out.playing;
-            crowd.leave(id);
-          });
+        while (submitted < requests &&
+               net::monotonicNow() - start >= submitted * stormRequestIntervalMicros) {
+          client::SubscriptionRequest request;
+          request.viewer = clientName + std::to_string(submitted);
+          request.title = plan + "." + std::to_string(submitted++) + "." + clientName;
+          request.room = "recipe-clip";
+          request.timeout = stormClientTimeout;
+          sessionClient.subscribe(request,
+                                  [&](client::RequestId id, const client::SubscriptionResult& answer) {
+                                    ++completed;
+                                    if (answer.result != client::Result::playing) return;
+                                    ++storm.playing;
+                                    sessionClient.leave(id);
+                                  });
         }
-        return over == wishes;
+        return completed == requests;
       },
-      30'000'000);
-  return out;
+      stormTimeout);
+  return storm;
 }
 
 }  // namespace
@@ -306,12 +335,12 @@
     for (std::string line; std::getline(in, line);)
       if (!line.empty()) result.sequences.push_back(client_script::parseSequence(line));
   }
-  std::string folder = options.keepIn;
+  std::string folder = options.keepFolder;
   if (folder.empty()) {
     folder = std::filesystem::temp_directory_path() / "lupinsill-clients-XXXXXX";
     if (mkdtemp(folder.data()) == nullptr) throw std::runtime_error(folder + ": cannot be made");
   }
-  // What an earlier run left there, marks of faults done above all, would change this one.
+  // Marker files and ledgers of an earlier run would change this one.
   for (const char* old : {"/d0", "/d1"}) std::filesystem::remove_all(folder + old);
   std::filesystem::create_directories(folder);
   folder = std::filesystem::absolute(folder).string();
@@ -321,78 +350,81 @@
     for (const char* name : {"websocket", "grpc", "typescript"}) {
       client_script::LibraryRun library;
       library.name = name;
-      fleet.settle();
+      fleet.waitUntilLedgersTrusted();
       if (library.name == "typescript") {
         if (options.player.empty()) continue;
-        playThere(fleet, result.sequences, options.player, folder, library);
+        playTypeScript(fleet, result.sequences, options.player, folder, library);
       } else {
-        playHere(fleet, result.sequences, library);
+        playInProcess(fleet, result.sequences, library);
       }
       library.setUps = fleet.nodes().setUps();
       result.libraries.push_back(std::move(library));
     }
     result.findings = client_script::compare(result.sequences, result.libraries);
-    client::RetryPolicy naive = manners();
-    naive.minRetries = 1'000'000;
-    naive.maxAttempts = 3;
+    client::RetryPolicy naive = localRetryPolicy();
+    naive.minRetries = unlimitedRetries;
+    naive.maxAttempts = naiveAttempts;
     naive.minBackoff = 1;
     naive.maxBackoff = 1;
     naive.minEjection = naive.maxEjection = 1;
-    client::RetryPolicy ours = manners();
-    if (options.plant == "budget-ignored") ours.minRetries = 1'000'000, ours.maxAttempts = 1'000;
+    client::RetryPolicy ours = localRetryPolicy();
+    if (options.plant == "budget-ignored")
+      ours.minRetries = unlimitedRetries, ours.maxAttempts = unlimitedAttempts;
     for (const auto& [plan, share] : {std::pair{"half", 0.5}, {"all", 1.0}, {"refuse", 1.0}}) {
       if (options.crowd == 0) break;
-      result.storms.push_back(storm(fleet, "ours", plan, share, ours, true, options.crowd));
-      result.storms.push_back(storm(fleet, "three-tries", plan, share, naive, false, options.crowd));
+      result.retryStorms.push_back(runRetryStorm(fleet, "ours", plan, share, ours, true, options.crowd));
+      result.retryStorms.push_back(
+          runRetryStorm(fleet, "three-tries", plan, share, naive, false, options.crowd));
     }
     fleet.end();
   }
-  for (const Storm& one : result.storms)
-    if (one.askMost != 0 && one.asks > one.askMost)
-      result.findings.push_back({"storm of " + one.who, std::to_string(one.asks) + " asks, at most " +
-                                                            std::to_string(one.askMost) +
-                                                            " within the budget"});
-  if (options.keepIn.empty()) std::filesystem::remove_all(folder);
+  for (const RetryStorm& one : result.retryStorms)
+    if (one.maxRequestsSent != 0 && one.requestsSent > one.maxRequestsSent)
+      result.findings.push_back(
+          {"retry storm of " + one.client, std::to_string(one.requestsSent) + " requests sent, at most " +
+                                               std::to_string(one.maxRequestsSent) + " within the budget"});
+  if (options.keepFolder.empty()) std::filesystem::remove_all(folder);
   return result;
 }
 
-std::string shown(const ClientsResult& result) {
+std::string formatReport(const ClientsResult& result) {
   std::ostringstream out;
   struct Row {
-    int wishes = 0, setUps = 0;
+    int requests = 0, setUps = 0;
     std::map<std::string, int> results;
   };
-  out << "plan                  library      wishes  set-ups  results\n";
-  for (const client_script::FaultPlan& plan : client_script::faultPlans())
-    for (const client_script::LibraryRun& library : result.libraries)
+  out << "plan                  library    requests  set-ups  results\n";
+  for (const client_script::Plan& plan : client_script::plans())
+    for (const client_script::Library& library : result.libraries)
       for (const bool paid : {false, true}) {
         Row row;
         for (const client_script::Sequence& sequence : result.sequences)
-          for (std::size_t i = 0; i < sequence.requests.size(); ++i) {
-            const client_script::ScriptedRequest& wish = sequence.requests[i];
-            if (client_script::findFaultPlan(wish.title) != &plan || wish.paid != paid) continue;
-            ++row.wishes;
+          for (std::size_t i = 0; i < sequence.wishes.size(); ++i) {
+            const client_script::WishLine& wish = sequence.wishes[i];
+            if (client_script::planOf(wish.title) != &plan || wish.paid != paid) continue;
+            ++row.requests;
             const auto counted = library.setUps.find(wish.title + "." + library.name);
             if (counted != library.setUps.end()) row.setUps += counted->second;
             const auto played = library.played.find(sequence.number);
-            const bool has = played != library.played.end() && i < played->second.results.size();
-            ++row.results[has ? played->second.results[i] : "none"];
+            const bool hasResult = played != library.played.end() && i < played->second.results.size();
+            ++row.results[hasResult ? played->second.results[i] : "none"];
           }
-        if (row.wishes == 0) continue;
+        if (row.requests == 0) continue;
         char line[128];
         std::snprintf(line, sizeof line, "%-20s%s %-12s %6d  %7d ", plan.name, paid ? "$" : " ",
-                      library.name.c_str(), row.wishes, row.setUps);
+                      library.name.c_str(), row.requests, row.setUps);
         out << line;
         for (const auto& [name, count] : row.results) out << " " << name << " " << count;
         out << "\n";
       }
   out << "($: a room type that must not be set up twice)\n";
-  for (const Storm& one : result.storms) {
+  for (const RetryStorm& one : result.retryStorms) {
     char line[160];
-    std::snprintf(
-        line, sizeof line, "directors %s %3.0f%%: %-12s %d wishes, %llu asks (%.2f each), %d play\n",
-        one.plan == "refuse" ? "throttle" : "fail", one.share * 100, one.who.c_str(), one.wishes,
-        static_cast<unsigned long long>(one.asks), static_cast<double>(one.asks) / one.wishes, one.playing);
+    std::snprintf(line, sizeof line,
+                  "directors %s %3.0f%%: %-12s %d requests, %llu sent (%.2f each), %d play\n",
+                  one.plan == "refuse" ? "throttle" : "fail", one.share * 100, one.client.c_str(),
+                  one.requests, static_cast<unsigned long long>(one.requestsSent),
+                  static_cast<double>(one.requestsSent) / one.requests, one.playing);
     out << line;
   }
   for (const client_script::Finding& finding : result.findings)
