--- a/bench/ledger.cpp
+++ b/bench/ledger.cpp
@@ -47,11 +47,11 @@
   const store::Store store(file, megabytes, wallClockOffset, [] {});
   const double readSeconds = secondsSince(start);
   ledger::Ledger ledger(keyRetention, static_cast<std::size_t>(records) + 1, true);
-  ledger.recover(net::monotonicNow(), store.found().records, store.found().whole);
+  ledger.recover(net::monotonicNow(), store.loadResult().records, store.loadResult().intact);
   rusage usage{};
   getrusage(RUSAGE_SELF, &usage);
   std::printf("started: %.2f s in all, %.2f of it reading; %zu keys known, %s, peak memory %ld MB\n",
-              secondsSince(start), readSeconds, ledger.size(), store.found().whole ? "whole" : "damaged",
-              usage.ru_maxrss / 1024);
+              secondsSince(start), readSeconds, ledger.size(),
+              store.loadResult().intact ? "whole" : "damaged", usage.ru_maxrss / 1024);
   return 0;
 }
--- a/bench/load.cpp
+++ b/bench/load.cpp
@@ -176,7 +176,7 @@
     while (const auto message = connection.reader.next()) {
       if (message->method == "SETUP") {
         ++connection.sessions;
-        const std::string key = media::unescaped(message->header("Lupinsill-Ask"));
+        const std::string key = media::percentDecode(message->header("Lupinsill-Ask"));
         const auto it = connection.generator->sentAt.find(key.substr(key.find(':') + 1));
         if (it != connection.generator->sentAt.end())
           connection.generator->joinTimes.push_back(net::monotonicNow() - it->second);
@@ -228,10 +228,10 @@
     if (static_cast<double>(next % 100) < paidShare * 100)
       request.room = "paid", request.key = "load:" + request.key;
     sentAt[request.id] = net::monotonicNow();
-    player.channel->sendText(websocket::textOf(request));
+    player.channel->sendText(websocket::toJson(request));
   }
   void onAnswer(Player& player, std::string_view text) {
-    const websocket::AnswerMessage answer = websocket::readAnswer(text);
+    const websocket::AnswerMessage answer = websocket::parseAnswer(text);
     if (answer.kind == websocket::AnswerKind::rung || answer.kind == websocket::AnswerKind::ended) return;
     const auto it = sentAt.find(answer.id);
     if (it == sentAt.end()) return;
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -72,7 +72,7 @@
   const lab::RunResult result = lab::runDay(options);
   std::fputs(lab::formatReport(result).c_str(), stdout);
   if (!options.plant.empty()) {
-    const lab::Plant& plant = *lab::findPlant(options.plant);
+    const lab::PlantedFault& plant = *lab::findPlantedFault(options.plant);
     const bool caught = result.rows[static_cast<std::size_t>(plant.rule - 1)].violations > 0;
     std::printf("plant %s: %s by rule %d\n", plant.name, caught ? "caught" : "NOT caught", plant.rule);
     // A caught fault has the exit code of a broken rule; one that was not caught has another.
@@ -234,7 +234,8 @@
                             "A baseline policy instead of the decision module: first-open or random-lowest");
   labRunCommand->add_option("--history", labRunOptions.historyFile,
                             "Write the recorded events to this file, for `lab history`");
-  labRunCommand->add_option("--keep", labRunOptions.keepIn, "Keep settings, lists and logs in this folder");
+  labRunCommand->add_option("--keep", labRunOptions.keepFolder,
+                            "Keep settings, lists and logs in this folder");
   labRunCommand->footer("Example: lupinsill lab run examples/days/bad-evening.xml --plant second-join");
   CLI::App* labPlantsCommand = labCommand->add_subcommand("plants", "List the faults that can be injected");
   labPlantsCommand->footer("Example: lupinsill lab plants");
@@ -257,7 +258,7 @@
   labClientsCommand
       ->add_option("--crowd", clientsOptions.crowd, "Number of requests of each crowd; 0: no crowds")
       ->capture_default_str();
-  labClientsCommand->add_option("--keep", clientsOptions.keepIn, "Keep settings and logs in this folder");
+  labClientsCommand->add_option("--keep", clientsOptions.keepFolder, "Keep settings and logs in this folder");
   labClientsCommand->footer(
       "Example: lupinsill lab clients --seed 1 --typescript "
       "client/typescript/dist/typescript/tools/play.js");
@@ -296,7 +297,7 @@
   }
   try {
     if (directorCommand->parsed()) {
-      if (!plant.empty()) directorOptions.hooks = lab::hooksOf(plant);
+      if (!plant.empty()) directorOptions.hooks = lab::hooksForFault(plant);
       if (!policy.empty()) {
         const auto policies = baseline::policyNames();
         if (std::find(policies.begin(), policies.end(), policy) == policies.end())
@@ -325,7 +326,7 @@
     if (drainCommand->parsed())
       return requestFromDirector(adminAddress, "POST", drainOff ? "/undrain" : "/drain");
     if (labHistoryCommand->parsed()) {
-      if (!historyPlant.empty() && lab::findPlant(historyPlant) == nullptr)
+      if (!historyPlant.empty() && lab::findPlantedFault(historyPlant) == nullptr)
         return fail(exitUsage, "--plant " + historyPlant + ": see `lupinsill lab plants`");
       return playHistories(historyFile, historySettings, historySeed, historySeeds, historyPlant,
                            printHistory);
@@ -339,7 +340,7 @@
       return playClients(clientsOptions);
     }
     if (labPlantsCommand->parsed()) {
-      for (const lab::Plant& fault : lab::plants()) std::printf("%s\n", fault.name);
+      for (const lab::PlantedFault& fault : lab::plantedFaults()) std::printf("%s\n", fault.name);
       return 0;
     }
     if (labImportCommand->parsed()) {
@@ -347,7 +348,7 @@
       return 0;
     }
     if (labRunCommand->parsed()) {
-      if (!labRunOptions.plant.empty() && lab::findPlant(labRunOptions.plant) == nullptr)
+      if (!labRunOptions.plant.empty() && lab::findPlantedFault(labRunOptions.plant) == nullptr)
         return fail(exitUsage, "--plant " + labRunOptions.plant + ": see `lupinsill lab plants`");
       return runLab(labRunOptions);
     }
--- a/src/history/play.cpp
+++ b/src/history/play.cpp
@@ -235,7 +235,7 @@
   director.nextTurnAt = 0;
   director.committing = false;
   director.unsavedWrites.clear();
-  if (!faultName_.empty()) director.hooks = lab::hooksOf(faultName_);
+  if (!faultName_.empty()) director.hooks = lab::hooksForFault(faultName_);
   ControlSettings settings = controlSettings_;
   settings.zone = director.zone;
   settings.directors = history_.directors;
--- a/src/lab/clients.cpp
+++ b/src/lab/clients.cpp
@@ -180,8 +180,8 @@
     next();
   }
   void next() {
-    if (played.results.size() == sequence.wishes.size()) return;
-    const client_script::WishLine& wish = sequence.wishes[played.results.size()];
+    if (played.results.size() == sequence.requests.size()) return;
+    const client_script::ScriptedRequest& wish = sequence.requests[played.results.size()];
     client::SubscriptionRequest request;
     request.viewer = name + "-" + std::to_string(sequence.number);
     request.title = wish.title + "." + name;
@@ -202,16 +202,17 @@
 };
 
 bool killsDirector(const client_script::Sequence& sequence) {
-  return std::any_of(sequence.wishes.begin(), sequence.wishes.end(), [](const client_script::WishLine& wish) {
-    const client_script::Plan* plan = client_script::planOf(wish.title);
-    return plan != nullptr && plan->kills;
-  });
+  return std::any_of(sequence.requests.begin(), sequence.requests.end(),
+                     [](const client_script::ScriptedRequest& wish) {
+                       const client_script::FaultPlan* plan = client_script::findFaultPlan(wish.title);
+                       return plan != nullptr && plan->killsDirector;
+                     });
 }
 
 // Plays the sequences through a C++ library: first those that kill no director, several at a time, then the
 // others one by one, each after the directors are up again.
 void playInProcess(Fleet& fleet, const std::vector<client_script::Sequence>& sequences,
-                   client_script::Library& library) {
+                   client_script::LibraryRun& library) {
   for (const bool killsOnly : {false, true}) {
     std::deque<const client_script::Sequence*> waiting;
     for (const client_script::Sequence& sequence : sequences)
@@ -228,11 +229,11 @@
           if (killsOnly && players.empty() && !waiting.empty()) {
             const Micros from = net::monotonicNow(), span = wiped ? ledgerDoubtPeriod : restartPause;
             fleet.runUntil([&] { return fleet.up() && net::monotonicNow() - from >= span; }, startUpTimeout);
-            wiped = waiting.front()->wishes.front().title.starts_with("wipe");
+            wiped = waiting.front()->requests.front().title.starts_with("wipe");
           }
           while (players.size() < (killsOnly ? 1 : maxConcurrentSequences) && !waiting.empty()) {
-            players.push_back(
-                std::make_unique<SequencePlayer>(fleet, *waiting.front(), library.name, library.asks));
+            players.push_back(std::make_unique<SequencePlayer>(fleet, *waiting.front(), library.name,
+                                                               library.requestsSent));
             waiting.pop_front();
           }
           return players.empty();
@@ -243,7 +244,8 @@
 
 // Plays the sequences through the TypeScript library, in a subprocess.
 void playTypeScript(Fleet& fleet, const std::vector<client_script::Sequence>& sequences,
-                    const std::string& player, const std::string& folder, client_script::Library& library) {
+                    const std::string& player, const std::string& folder,
+                    client_script::LibraryRun& library) {
   std::string addresses;
   for (const client::DirectorEndpoint& at : fleet.directors(false))
     addresses += (addresses.empty() ? "" : ",") + at.address;
@@ -252,7 +254,7 @@
     {
       std::ofstream script(scriptFile);
       for (const client_script::Sequence& sequence : sequences)
-        if (killsDirector(sequence) == killsOnly) script << client_script::lineOf(sequence) << "\n";
+        if (killsDirector(sequence) == killsOnly) script << client_script::toLine(sequence) << "\n";
     }
     const std::string concurrency = std::to_string(killsOnly ? 1 : maxConcurrentSequences),
                       wait = std::to_string(killsOnly ? restartPause / 1000 : 0);
@@ -394,14 +396,14 @@
     std::map<std::string, int> results;
   };
   out << "plan                  library    requests  set-ups  results\n";
-  for (const client_script::Plan& plan : client_script::plans())
-    for (const client_script::Library& library : result.libraries)
+  for (const client_script::FaultPlan& plan : client_script::faultPlans())
+    for (const client_script::LibraryRun& library : result.libraries)
       for (const bool paid : {false, true}) {
         Row row;
         for (const client_script::Sequence& sequence : result.sequences)
-          for (std::size_t i = 0; i < sequence.wishes.size(); ++i) {
-            const client_script::WishLine& wish = sequence.wishes[i];
-            if (client_script::planOf(wish.title) != &plan || wish.paid != paid) continue;
+          for (std::size_t i = 0; i < sequence.requests.size(); ++i) {
+            const client_script::ScriptedRequest& wish = sequence.requests[i];
+            if (client_script::findFaultPlan(wish.title) != &plan || wish.paid != paid) continue;
             ++row.requests;
             const auto counted = library.setUps.find(wish.title + "." + library.name);
             if (counted != library.setUps.end()) row.setUps += counted->second;
--- a/src/lab/counting.cpp
+++ b/src/lab/counting.cpp
@@ -10,7 +10,7 @@
 struct CountingNodes::Connection {
   CountingNodes* owner = nullptr;
   net::BufferEvent bufferEvent;
-  media::Reader reader;
+  media::MessageParser reader;
   std::set<std::string> unansweredSessions;  // by the value of Pipelined-Requests
   bool dead = false;
 };
@@ -73,7 +73,7 @@
     if (!media::parseStreamUri(message.uri, named)) return;
     ++setUps_[named.title];
     const std::string plan = named.title.substr(0, named.title.find('.'));
-    const std::string key = media::unescaped(message.header("Lupinsill-Ask"));
+    const std::string key = media::percentDecode(message.header("Lupinsill-Ask"));
     if (plan == "drop") connection.unansweredSessions.insert(pipelined);
     if (plan == "cut") {
       connection.dead = true;
@@ -90,7 +90,7 @@
     reply.headers.emplace_back("Session", std::string(message.header("Session")));
   }
   if (!pipelined.empty() && connection.unansweredSessions.contains(pipelined)) return;
-  const std::string bytes = reply.bytes();
+  const std::string bytes = reply.serialize();
   evbuffer_add(bufferevent_get_output(connection.bufferEvent.get()), bytes.data(), bytes.size());
 }
 
--- a/src/lab/day.cpp
+++ b/src/lab/day.cpp
@@ -25,7 +25,7 @@
 constexpr int reducedTopSteps = 2;
 
 Micros parseDuration(const settings::Element& e, const char* name) {
-  return settings::durationOf(e.text(name));
+  return settings::parseDuration(e.text(name));
 }
 double parseNumber(const settings::Element& e, const char* name) {
   return std::strtod(e.text(name).c_str(), nullptr);
@@ -54,8 +54,8 @@
   day.minSetUpTime = parseDuration(fleet, "set-up-least");
   day.maxSetUpTime = parseDuration(fleet, "set-up-most");
   day.listDelay = parseDuration(fleet, "list-late");
-  if (day.nodes != day.deployment.terms.cells)
-    settings::refuse(
+  if (day.nodes != day.deployment.controlSettings.cells)
+    settings::throwSettingsError(
         file, fleet,
         "nodes: expected the cells of the settings, " + std::to_string(day.deployment.controlSettings.cells));
   const settings::Element& players = *root.child("players");
@@ -68,7 +68,8 @@
   for (const settings::Element& room : players.children) {
     const auto& known = day.deployment.roomTypes;
     const auto it = std::find(known.begin(), known.end(), room.text("name"));
-    if (it == known.end()) settings::refuse(file, room, "name: expected a room type of the settings");
+    if (it == known.end())
+      settings::throwSettingsError(file, room, "name: expected a room type of the settings");
     day.rooms.push_back({static_cast<int>(it - known.begin()), parseNumber(room, "share"),
                          parseDuration(room, "least"), parseDuration(room, "most")});
   }
@@ -82,7 +83,7 @@
 }
 
 std::vector<Arrival> drawArrivals(const Day& day, std::uint64_t seed) {
-  Chance chance(seed, 1);
+  RandomSource chance(seed, 1);
   std::vector<double> cumulativeWeights;
   double totalWeight = 0;
   for (int t = 0; t < day.titles; ++t)
@@ -101,18 +102,18 @@
       pick -= r.share;
     }
     a.roomType = room->roomType;
-    a.length = chance.span(room->minLength, room->maxLength);
-    const double position = chance.unit() * totalWeight;
+    a.length = chance.duration(room->minLength, room->maxLength);
+    const double position = chance.uniform() * totalWeight;
     a.title =
         static_cast<int>(std::lower_bound(cumulativeWeights.begin(), cumulativeWeights.end(), position) -
                          cumulativeWeights.begin());
-    const int top = day.deployment.terms.roomTypes[static_cast<std::size_t>(a.roomType)].top;
-    a.top = chance.comes(reducedTopShare) ? std::max(0, top - reducedTopSteps) : top;
+    const int top = day.deployment.controlSettings.roomTypes[static_cast<std::size_t>(a.roomType)].top;
+    a.top = chance.withProbability(reducedTopShare) ? std::max(0, top - reducedTopSteps) : top;
     a.zone = static_cast<int>(chance.below(static_cast<std::size_t>(day.zones)));
     return a;
   };
   for (int i = 0; i < day.requests; ++i)
-    arrivals.push_back(draw(static_cast<Micros>(chance.unit() * static_cast<double>(day.length))));
+    arrivals.push_back(draw(static_cast<Micros>(chance.uniform() * static_cast<double>(day.length))));
   for (const ScheduledFault& fault : day.faults) {
     if (fault.kind != FaultKind::burst && fault.kind != FaultKind::crowd) continue;
     const double usualCount = static_cast<double>(day.requests) * static_cast<double>(fault.duration) /
@@ -121,7 +122,7 @@
     const int popularTitle = static_cast<int>(chance.below(static_cast<std::size_t>(day.titles)));
     for (int i = 0; i < extra; ++i) {
       arrivals.push_back(
-          draw(fault.at + static_cast<Micros>(chance.unit() * static_cast<double>(fault.duration))));
+          draw(fault.at + static_cast<Micros>(chance.uniform() * static_cast<double>(fault.duration))));
       if (fault.kind == FaultKind::crowd) arrivals.back().title = popularTitle;
     }
   }
@@ -133,7 +134,8 @@
     for (const ScheduledFault& fault : day.faults) {
       if (a.at < fault.at || a.at >= fault.at + fault.duration) continue;
       const bool nonRepeatable =
-          day.deployment.terms.roomTypes[static_cast<std::size_t>(a.roomType)].effect != Effect::repeatable;
+          day.deployment.controlSettings.roomTypes[static_cast<std::size_t>(a.roomType)].effect !=
+          Effect::repeatable;
       const ClientBehaviour behaviour =
           fault.kind == FaultKind::closers && nonRepeatable ? ClientBehaviour::disconnects
           : fault.kind == FaultKind::repeats                ? ClientBehaviour::duplicatesRequest
@@ -141,7 +143,7 @@
           : fault.kind == FaultKind::garbage                ? ClientBehaviour::sendsGarbage
                                                             : ClientBehaviour::normal;
       if (behaviour != ClientBehaviour::normal && a.behaviour == ClientBehaviour::normal &&
-          chance.comes(fault.share))
+          chance.withProbability(fault.share))
         a.behaviour = behaviour;
     }
   }
--- a/src/lab/day.h
+++ b/src/lab/day.h
@@ -1,7 +1,7 @@
 // A day: one test scenario of the lab, read from an XML file (deploy/day.xsd). It states the fleet, the
 // workload and the faults to inject. drawArrivals() generates the workload's requests; the same day and seed
 // give the same requests. Times are whole microseconds from the start of the day.
-// Errors: settings::BadSettings.
+// Errors: settings::SettingsError.
 #pragma once
 
 #include <cstdint>
--- a/src/lab/import.h
+++ b/src/lab/import.h
@@ -1,6 +1,6 @@
 // Converts a day file of the operators' bench (JSON) into a day of the lab: the same kinds of fault at the
 // same relative times, scaled down to a fleet that one machine can run. Only numbers are taken over, no
-// names. Errors: settings::BadSettings with a one-line message.
+// names. Errors: settings::SettingsError with a one-line message.
 #pragma once
 
 #include <string>
--- a/src/lab/plant.cpp
+++ b/src/lab/plant.cpp
@@ -107,32 +107,34 @@
   std::map<std::string, int> cutCount;
   std::minstd_rand chance{11};
 
-  director::Fate operator()(director::Step step, const std::string& title) {
+  director::FaultAction operator()(director::FaultPoint step, const std::string& title) {
     const std::string faultName = title.substr(0, title.find('.'));
-    static const std::map<std::string, director::Step> killSteps{
-        {"kill-ask-read", director::Step::askRead},
-        {"kill-ask-decided", director::Step::askDecided},
-        {"kill-join-leaves", director::Step::joinLeaves},
-        {"kill-join-began", director::Step::joinBegan},
-        {"kill-answer-decided", director::Step::answerDecided},
+    static const std::map<std::string, director::FaultPoint> killSteps{
+        {"kill-ask-read", director::FaultPoint::requestRead},
+        {"kill-ask-decided", director::FaultPoint::requestDecided},
+        {"kill-join-leaves", director::FaultPoint::joinSent},
+        {"kill-join-began", director::FaultPoint::joinStarted},
+        {"kill-answer-decided", director::FaultPoint::answerDecided},
     };
     if (const auto it = killSteps.find(faultName); it != killSteps.end() && it->second == step) {
       const std::string markerFile = "died-of-" + title;
-      if (std::filesystem::exists(markerFile)) return director::Fate::go;
+      if (std::filesystem::exists(markerFile)) return director::FaultAction::none;
       std::ofstream(markerFile) << "once\n";
       raise(SIGKILL);
     }
-    if (step == director::Step::askRead &&
+    if (step == director::FaultPoint::requestRead &&
         (faultName == "all" || (faultName == "half" && chance() / 7 % 2 == 0)))
-      return director::Fate::cut;
-    if (step == director::Step::askRead && faultName == "refuse") return director::Fate::refuse;
+      return director::FaultAction::dropConnection;
+    if (step == director::FaultPoint::requestRead && faultName == "refuse")
+      return director::FaultAction::reject;
     const int maxCuts = faultName == "lose" || faultName == "lose-err" || faultName == "unheard" ? 1
                         : faultName == "twice"                                                   ? 2
                                                                                                  : 0;
-    const auto cutStep = faultName == "unheard" ? director::Step::askRead : director::Step::answerDecided;
-    if (maxCuts == 0 || step != cutStep || cutCount[title] >= maxCuts) return director::Fate::go;
+    const auto cutStep =
+        faultName == "unheard" ? director::FaultPoint::requestRead : director::FaultPoint::answerDecided;
+    if (maxCuts == 0 || step != cutStep || cutCount[title] >= maxCuts) return director::FaultAction::none;
     ++cutCount[title];
-    return director::Fate::cut;
+    return director::FaultAction::dropConnection;
   }
 };
 
@@ -209,18 +211,18 @@
   return nullptr;
 }
 
-director::Hooks hooksForFault(const std::string& name) {
+director::FaultHooks hooksForFault(const std::string& name) {
   if (name == "titles" || name == "titles-unrecorded") {
-    director::Hooks hooks;
-    hooks.at = TitleFaults();
-    hooks.recorded = name == "titles";
+    director::FaultHooks hooks;
+    hooks.onFaultPoint = TitleFaults();
+    hooks.ledgerEnabled = name == "titles";
     return hooks;
   }
   if (findPlantedFault(name) == nullptr)
     throw std::runtime_error("plant '" + name + "': see `lupinsill lab plants`");
   director::FaultHooks hooks;
   if (name == "second-join" || name.starts_with("answer-")) {
-    hooks.tamper = CommandFault(name);
+    hooks.alterCommands = CommandFault(name);
     return hooks;
   }
   if (name == "ledger-unused") {
@@ -228,7 +230,7 @@
     return hooks;
   }
   hooks.guardsEnabled = false;
-  hooks.decider = [name](const ControlSettings& terms, std::uint64_t seed) {
+  hooks.makeDecider = [name](const ControlSettings& terms, std::uint64_t seed) {
     return std::make_unique<FaultyDecider>(name, terms, seed);
   };
   return hooks;
--- a/src/lab/plant.h
+++ b/src/lab/plant.h
@@ -1,6 +1,6 @@
 // Faults injected into a director to test the audit: each breaks one rule, and the audit must report it. An
-// audit that never reported a violation would prove nothing. The faults act through director::Hooks, behind
-// the guards or with the guards disabled; code in service never enables them.
+// audit that never reported a violation would prove nothing. The faults act through director::FaultHooks,
+// behind the guards or with the guards disabled; code in service never enables them.
 #pragma once
 
 #include <string>
@@ -22,6 +22,6 @@
 // The hooks that inject a fault into a director. Two more names are known: "titles" injects the faults that
 // the titles of client scripts name (src/client_script), and "titles-unrecorded" does so without a ledger.
 // Throws std::runtime_error for an unknown name.
-director::Hooks hooksForFault(const std::string& name);
+director::FaultHooks hooksForFault(const std::string& name);
 
 }  // namespace lupinsill::lab
--- a/src/lab/players.cpp
+++ b/src/lab/players.cpp
@@ -40,10 +40,10 @@
   std::unique_ptr<websocket::Channel> channel;
 
   std::string viewer() const { return "v" + std::to_string(arrival.viewer); }
-  audit::AskSeen& record() { return pool->context_.record->asks[requestRecord]; }
+  audit::RequestObservation& record() { return pool->context_.record->requests[requestRecord]; }
   void onOpen(websocket::Channel&) override { pool->sendRequest(*this, repeatsRequest); }
   void onText(websocket::Channel&, std::string_view text) override {
-    pool->onAnswer(*this, websocket::readAnswer(text));
+    pool->onAnswer(*this, websocket::parseAnswer(text));
   }
   void onClosed(websocket::Channel&, int) override { pool->onConnectionLost(*this); }
   void drop() {
@@ -56,7 +56,7 @@
 PlayerPool::PlayerPool(LabContext& context, const Processes& processes, std::vector<Arrival> arrivals,
                        std::uint64_t seed)
     : context_(context), processes_(processes), chance_(seed, 3), arrivals_(std::move(arrivals)) {
-  const ControlSettings& terms = context.day->deployment.terms;
+  const ControlSettings& terms = context.day->deployment.controlSettings;
   for (const Arrival& a : arrivals_)
     if (a.behaviour != ClientBehaviour::neverReads && a.behaviour != ClientBehaviour::sendsGarbage)
       statistics_.offered += static_cast<double>(std::min(a.length, context.day->length - a.at)) / 1e6 *
@@ -76,7 +76,7 @@
   const auto it = players_.find(std::atoi(viewer.c_str() + 1));
   if (it == players_.end()) return false;
   const Micros objective =
-      context_.day->deployment.terms.roomTypes[static_cast<std::size_t>(roomType)].joinObjective;
+      context_.day->deployment.controlSettings.roomTypes[static_cast<std::size_t>(roomType)].joinObjective;
   return context_.now() - it->second->requestedAt <= objective;
 }
 
@@ -147,7 +147,7 @@
   // At least 1 ms: a request needs a positive length.
   message.length = std::max<Micros>(1'000, player.endsAt - now);
   if (again) message.previousDirector = "d" + std::to_string(player.directorIndex);
-  audit::AskSeen seen;
+  audit::RequestObservation seen;
   seen.at = now;
   seen.director = player.directorIndex;
   seen.run = player.run;
@@ -156,21 +156,21 @@
   seen.title = message.title;
   seen.roomType = player.arrival.roomType;
   seen.timeout = deployment.clientTimeouts[room];
-  seen.mute = player.arrival.behaviour == ClientBehaviour::neverReads;
-  if (!again || player.repeatsRequest) player.requestRecord = context_.record->asks.size();
-  player.repeatRecord = context_.record->asks.size();
-  context_.record->asks.push_back(seen);
+  seen.neverReads = player.arrival.behaviour == ClientBehaviour::neverReads;
+  if (!again || player.repeatsRequest) player.requestRecord = context_.record->requests.size();
+  player.repeatRecord = context_.record->requests.size();
+  context_.record->requests.push_back(seen);
   if (player.firstRequest || !again) player.requestedAt = now;
   player.firstRequest = false;
   ++statistics_.requests;
-  player.channel->sendText(websocket::textOf(message));
+  player.channel->sendText(websocket::toJson(message));
   player.state = Player::State::awaitingAnswer;
   player.wakeAt = now + seen.timeout + context_.day->answerSlack + lateAnswerWait;
-  const bool nonRepeatable = deployment.terms.roomTypes[room].effect != Effect::repeatable;
+  const bool nonRepeatable = deployment.controlSettings.roomTypes[room].effect != Effect::repeatable;
   if (player.arrival.behaviour == ClientBehaviour::neverReads) player.channel->stopReading();
   if (player.arrival.behaviour == ClientBehaviour::disconnects && !again && player.attempts == 1) {
     player.disconnectNext = true;
-    player.wakeAt = now + chance_.span(minDisconnectDelay, maxDisconnectDelay);
+    player.wakeAt = now + chance_.duration(minDisconnectDelay, maxDisconnectDelay);
   }
   if (player.arrival.behaviour == ClientBehaviour::duplicatesRequest && nonRepeatable && !again)
     sendRequest(player, true);
@@ -181,33 +181,36 @@
   using websocket::AnswerKind;
   const Micros now = context_.now();
   const bool isRepeat = answer.id == "again" && player.repeatRecord != player.requestRecord;
-  audit::AskSeen& seen = context_.record->asks[isRepeat ? player.repeatRecord : player.requestRecord];
-  const auto record = [&](audit::AskSeen::Answer::Kind kind) { seen.answers.push_back({now, kind}); };
+  audit::RequestObservation& seen =
+      context_.record->requests[isRepeat ? player.repeatRecord : player.requestRecord];
+  const auto record = [&](audit::RequestObservation::Answer::Kind kind) {
+    seen.answers.push_back({now, kind});
+  };
   const Micros objective =
-      context_.day->deployment.terms.roomTypes[static_cast<std::size_t>(player.arrival.roomType)]
+      context_.day->deployment.controlSettings.roomTypes[static_cast<std::size_t>(player.arrival.roomType)]
           .joinObjective;
   switch (answer.kind) {
     case AnswerKind::hello:
       return;
     case AnswerKind::playing:
-      record(audit::AskSeen::Answer::Kind::playing);
+      record(audit::RequestObservation::Answer::Kind::playing);
       ++statistics_.playing;
       if (now - player.requestedAt <= objective) ++statistics_.metJoinObjective;
       player.state = Player::State::playing;
       player.wakeAt = player.endsAt + endWait;
       return;
     case AnswerKind::throttled:
-      record(audit::AskSeen::Answer::Kind::throttled);
+      record(audit::RequestObservation::Answer::Kind::throttled);
       ++statistics_.throttled;
       if (isRepeat) return;
       return finishOrRetry(player, answer.retryAfter, true);
     case AnswerKind::terminated: {
-      record(audit::AskSeen::Answer::Kind::terminated);
+      record(audit::RequestObservation::Answer::Kind::terminated);
       ++statistics_.terminated;
       if (isRepeat) return;
-      const bool repeatable =
-          context_.day->deployment.terms.roomTypes[static_cast<std::size_t>(player.arrival.roomType)]
-              .effect == Effect::repeatable;
+      const bool repeatable = context_.day->deployment.controlSettings
+                                  .roomTypes[static_cast<std::size_t>(player.arrival.roomType)]
+                                  .effect == Effect::repeatable;
       return finishOrRetry(player, 0, repeatable);
     }
     case AnswerKind::ended:
@@ -225,14 +228,14 @@
   const Micros now = context_.now();
   // The answer to a repeat on the same socket can no longer be received.
   if (player.repeatRecord != player.requestRecord &&
-      context_.record->asks[player.repeatRecord].answers.empty())
-    context_.record->asks[player.repeatRecord].closedAt = now;
+      context_.record->requests[player.repeatRecord].answers.empty())
+    context_.record->requests[player.repeatRecord].closedAt = now;
   player.drop();
   const Micros pause =
-      std::max(retryAfter, chance_.span(context_.day->minRetryPause, context_.day->maxRetryPause));
+      std::max(retryAfter, chance_.duration(context_.day->minRetryPause, context_.day->maxRetryPause));
   const bool retries = mayRetry &&
                        now + pause < std::min(player.endsAt - minRemainingLength, context_.day->length) &&
-                       chance_.comes(context_.day->retryShare);
+                       chance_.withProbability(context_.day->retryShare);
   player.state = retries ? Player::State::waiting : Player::State::done;
   player.wakeAt = now + pause;
 }
@@ -256,10 +259,10 @@
     return player.drop();
   ++statistics_.socketsLost;
   player.record().closedAt = now;
-  player.record().lostSocket = true;
+  player.record().connectionLost = true;
   const bool nonRepeatable =
-      context_.day->deployment.terms.roomTypes[static_cast<std::size_t>(player.arrival.roomType)].effect !=
-      Effect::repeatable;
+      context_.day->deployment.controlSettings.roomTypes[static_cast<std::size_t>(player.arrival.roomType)]
+          .effect != Effect::repeatable;
   // The answer to a non-repeatable request was lost with the connection: repeat it at the same director with
   // the same idempotency key.
   if (previousState == Player::State::awaitingAnswer && nonRepeatable && now < player.endsAt) {
@@ -267,7 +270,7 @@
     player.drop();
     player.repeatsRequest = true;
     player.state = Player::State::waiting;
-    player.wakeAt = now + chance_.span(minReturnDelay, maxReturnDelay);
+    player.wakeAt = now + chance_.duration(minReturnDelay, maxReturnDelay);
     return;
   }
   finishOrRetry(player, 0, true);
@@ -307,7 +310,7 @@
           player->drop();
           player->repeatsRequest = true;
           player->state = Player::State::waiting;
-          player->wakeAt = now + chance_.span(minReturnDelay, maxReturnDelay);
+          player->wakeAt = now + chance_.duration(minReturnDelay, maxReturnDelay);
           break;
         }
         if (player->arrival.behaviour == ClientBehaviour::normal ||
--- a/src/lab/processes.cpp
+++ b/src/lab/processes.cpp
@@ -188,7 +188,7 @@
   if (p.pausedAt >= 0) resume(directorIndex, now, record);
   ::kill(p.pid, SIGKILL);
   reap(p.pid);
-  record.downs.push_back({directorIndex, p.run, now});
+  record.directorKills.push_back({directorIndex, p.run, now});
   p.pid = 0;
   p.playersPort = p.adminPort = 0;
 }
@@ -204,7 +204,7 @@
   DirectorProcess& p = directors_[static_cast<std::size_t>(directorIndex)];
   if (p.pid <= 0 || p.pausedAt < 0) return;
   ::kill(p.pid, SIGCONT);
-  record.stood.push_back({directorIndex, p.run, p.pausedAt, now});
+  record.directorStalls.push_back({directorIndex, p.run, p.pausedAt, now});
   p.pausedAt = -1;
 }
 
--- a/src/lab/run.cpp
+++ b/src/lab/run.cpp
@@ -90,8 +90,8 @@
   void runUntil(const std::function<bool()>& condition);
   RunResult makeResult(bool cleanExit);
 
-  void recordEvent(history::What what, int who, double magnitude = 0) {
-    if (dayStarted_) history_.happenings.push_back({context_.now(), what, who, magnitude, 0, 0, 0, 0});
+  void recordEvent(history::EventKind what, int who, double magnitude = 0) {
+    if (dayStarted_) history_.events.push_back({context_.now(), what, who, magnitude, 0, 0, 0, 0});
   }
   void writeHistory();
 
@@ -101,9 +101,9 @@
   bool dayStarted_ = false;
   net::EventBase base_;
   audit::Record record_;
-  model::World world_;
+  model::LinkModel world_;
   LabContext context_;
-  Chance chance_;
+  RandomSource chance_;
   std::string folder_;
   Processes processes_;
   std::vector<std::unique_ptr<StandIn>> nodes_;
@@ -132,19 +132,19 @@
   nodes_.push_back(std::make_unique<StandIn>(context_, id, cell, "zone" + std::to_string(cell % day_.zones),
                                              cold, options_.seed));
   byCell_[static_cast<std::size_t>(cell)] = nodes_.back().get();
-  if (cold) recordEvent(history::What::start, static_cast<int>(id), cell);
+  if (cold) recordEvent(history::EventKind::startNode, static_cast<int>(id), cell);
   return *nodes_.back();
 }
 
 void DayRunner::killNode(StandIn& node) {
   if (node.dead()) return;
-  recordEvent(history::What::kill, static_cast<int>(node.node));
+  recordEvent(history::EventKind::killNode, static_cast<int>(node.node));
   node.kill();
 }
 
 void DayRunner::setListedState(NodeId node, NodeState state) {
   if (state != NodeState::ready)
-    recordEvent(state == NodeState::gone ? history::What::gone : history::What::drain,
+    recordEvent(state == NodeState::gone ? history::EventKind::unlistNode : history::EventKind::drainNode,
                 static_cast<int>(node));
   if (state == NodeState::gone)
     listed_.erase(node);
@@ -217,10 +217,10 @@
   const auto applyToCells = [&](const std::vector<std::size_t>& cells, auto inject, auto clear) {
     const auto recordFault = [this, kind = fault.kind](const StandIn& n, double magnitude) {
       const auto id = static_cast<int>(n.node);
-      if (kind == FaultKind::hang) recordEvent(history::What::hang, id, magnitude > 0);
-      if (kind == FaultKind::answersLost) recordEvent(history::What::lose, id, magnitude > 0);
-      if (kind == FaultKind::fastErrors) recordEvent(history::What::fail, id, magnitude);
-      if (kind == FaultKind::linkCut) recordEvent(history::What::linkCut, id, magnitude);
+      if (kind == FaultKind::hang) recordEvent(history::EventKind::stallNode, id, magnitude > 0);
+      if (kind == FaultKind::answersLost) recordEvent(history::EventKind::loseAnswers, id, magnitude > 0);
+      if (kind == FaultKind::fastErrors) recordEvent(history::EventKind::failJoins, id, magnitude);
+      if (kind == FaultKind::linkCut) recordEvent(history::EventKind::reduceLink, id, magnitude);
     };
     for (const std::size_t cell : cells) {
       schedule(fault.at, [this, cell, inject, recordFault, magnitude = std::max(fault.magnitude, 1e-3)] {
@@ -262,10 +262,10 @@
           },
           [this](StandIn& n) { world_.cutLink(n.node, 1); });
     case FaultKind::uplinkCut: {
-      const auto racks = static_cast<std::size_t>(std::max(1, day_.deployment.terms.racks));
+      const auto racks = static_cast<std::size_t>(std::max(1, day_.deployment.controlSettings.racks));
       const auto n =
           std::max<std::size_t>(1, static_cast<std::size_t>(fault.share * static_cast<double>(racks) + 0.5));
-      for (const std::size_t rack : chance_.some(racks, n)) {
+      for (const std::size_t rack : chance_.sample(racks, n)) {
         schedule(fault.at, [this, rack, magnitude = fault.magnitude] {
           world_.cutUplink(static_cast<int>(rack), std::max(1.0, magnitude));
         });
@@ -275,7 +275,7 @@
     }
     case FaultKind::drain:
       for (const std::size_t cell : pickCells(fault.share))
-        drainAndReplace(static_cast<int>(cell), fault.at + chance_.span(0, fault.duration), true);
+        drainAndReplace(static_cast<int>(cell), fault.at + chance_.duration(0, fault.duration), true);
       return;
     case FaultKind::wave: {
       const std::vector<std::size_t> cells = pickCells(fault.share);
@@ -298,11 +298,11 @@
     case FaultKind::listStale:
       schedule(fault.at, [this, end, duration = fault.duration] {
         for (int d = 0; d < day_.directors; ++d)
-          recordEvent(history::What::late, d, static_cast<double>(duration) / millisecond);
+          recordEvent(history::EventKind::delayList, d, static_cast<double>(duration) / millisecond);
         listStaleUntil_ = end;
       });
       schedule(end, [this] {
-        for (int d = 0; d < day_.directors; ++d) recordEvent(history::What::late, d, 0);
+        for (int d = 0; d < day_.directors; ++d) recordEvent(history::EventKind::delayList, d, 0);
       });
       return;
     case FaultKind::reportsLate:
@@ -316,7 +316,7 @@
       const auto all = static_cast<std::size_t>(day_.directors);
       const auto n =
           std::max<std::size_t>(1, static_cast<std::size_t>(fault.share * static_cast<double>(all) + 0.5));
-      const std::vector<std::size_t> hit = chance_.some(all, n);
+      const std::vector<std::size_t> hit = chance_.sample(all, n);
       for (std::size_t i = 0; i < hit.size(); ++i) {
         const int directorIndex = static_cast<int>(hit[i]);
         const Micros at =
@@ -324,11 +324,11 @@
                 ? fault.at
                 : fault.at + static_cast<Micros>(i) * fault.duration / static_cast<Micros>(hit.size());
         schedule(at, [this, directorIndex] {
-          recordEvent(history::What::down, directorIndex);
+          recordEvent(history::EventKind::killDirector, directorIndex);
           processes_.kill(directorIndex, context_.now(), record_);
         });
         schedule(at + directorDowntime, [this, directorIndex] {
-          recordEvent(history::What::up, directorIndex);
+          recordEvent(history::EventKind::startDirector, directorIndex);
           processes_.start(directorIndex);
         });
       }
@@ -338,13 +338,13 @@
       const auto all = static_cast<std::size_t>(day_.directors);
       const auto n =
           std::max<std::size_t>(1, static_cast<std::size_t>(fault.share * static_cast<double>(all) + 0.5));
-      for (const std::size_t directorIndex : chance_.some(all, n)) {
+      for (const std::size_t directorIndex : chance_.sample(all, n)) {
         schedule(fault.at, [this, directorIndex] {
-          recordEvent(history::What::stand, static_cast<int>(directorIndex), 1);
+          recordEvent(history::EventKind::stallDirector, static_cast<int>(directorIndex), 1);
           processes_.pause(static_cast<int>(directorIndex), context_.now());
         });
         schedule(end, [this, directorIndex] {
-          recordEvent(history::What::stand, static_cast<int>(directorIndex), 0);
+          recordEvent(history::EventKind::stallDirector, static_cast<int>(directorIndex), 0);
           processes_.resume(static_cast<int>(directorIndex), context_.now(), record_);
         });
       }
@@ -409,14 +409,14 @@
   const Micros startUpTime = context_.now();
   context_.dayStart += startUpTime;
   for (auto& start : record_.starts) start.at -= startUpTime;
-  for (auto& word : record_.words) word.at -= startUpTime;
+  for (auto& word : record_.listedStates) word.at -= startUpTime;
   worldSteppedAt_ = portsReadAt_ = 0;
   dayStarted_ = true;
   for (const ScheduledFault& fault : day_.faults) scheduleFault(fault);
   playerPool_ =
       std::make_unique<PlayerPool>(context_, processes_, drawArrivals(day_, options_.seed), options_.seed);
   runUntil([this] { return context_.now() >= day_.length; });
-  world_.stopEarning();
+  world_.stopEarningBenefit();
   const Micros dayEndedAt = context_.now();
   runUntil([&] {
     return (playerPool_->done() && scheduledActions_.empty()) || context_.now() > dayEndedAt + settleTimeout;
@@ -438,14 +438,14 @@
   history_.nodes = day_.nodes;
   history_.zones = day_.zones;
   history_.linkKb = day_.linkKb;
-  history_.setUpLeast = day_.minSetUpTime;
-  history_.setUpMost = day_.maxSetUpTime;
+  history_.minSetUpTime = day_.minSetUpTime;
+  history_.maxSetUpTime = day_.maxSetUpTime;
   for (const Arrival& a : drawArrivals(day_, options_.seed)) {
-    history_.happenings.push_back(
-        {a.at, history::What::wish, a.viewer, 0, a.roomType, a.title, a.top, a.length});
+    history_.events.push_back(
+        {a.at, history::EventKind::request, a.viewer, 0, a.roomType, a.title, a.top, a.length});
     if (a.behaviour == ClientBehaviour::disconnects)
-      history_.happenings.push_back(
-          {a.at + historyDisconnectDelay, history::What::cut, a.viewer, 0, 0, 0, 0, 0});
+      history_.events.push_back(
+          {a.at + historyDisconnectDelay, history::EventKind::disconnect, a.viewer, 0, 0, 0, 0, 0});
   }
   std::stable_sort(
       history_.events.begin(), history_.events.end(),
@@ -457,21 +457,22 @@
 
 RunResult DayRunner::makeResult(bool cleanExit) {
   RunResult result;
-  audit::Statistics statistics;
-  statistics.terms = day_.deployment.controlSettings;
+  audit::CheckSettings statistics;
+  statistics.controlSettings = day_.deployment.controlSettings;
   statistics.clientTimeouts = day_.deployment.clientTimeouts;
   statistics.grace = day_.deployment.sessionLimits.grace;
-  statistics.answerSlack = day_.answerSlack;
-  statistics.orderSlack = orderSlack;
-  statistics.listLook = day_.deployment.lookEvery + listReadSlack;
+  statistics.answerTolerance = day_.answerSlack;
+  statistics.orderTolerance = orderSlack;
+  statistics.maxListDelay = day_.deployment.listPollInterval + listReadSlack;
   result.rows = audit::check(record_, statistics);
   result.playerStatistics = playerPool_->statistics();
   double earned = 0;
-  for (const auto& [viewer, benefit] : world_.earned()) earned += benefit;
+  for (const auto& [viewer, benefit] : world_.earnedBenefit()) earned += benefit;
   result.service = result.playerStatistics.offered > 0 ? earned / result.playerStatistics.offered : 0;
   result.setUps = record_.setUps.size();
-  result.overloadedNodes = record_.nodesFallen.size();
-  result.rungChangesPerMinute = world_.playedSeconds() > 0 ? world_.steps() * 60 / world_.playedSeconds() : 0;
+  result.overloadedNodes = record_.overloadedNodes.size();
+  result.rungChangesPerMinute =
+      world_.playedSeconds() > 0 ? world_.rungChanges() * 60 / world_.playedSeconds() : 0;
   result.directorCpuSeconds = processes_.cpuSeconds();
   result.cleanEnd = cleanExit;
   return result;
--- a/src/lab/run.h
+++ b/src/lab/run.h
@@ -1,5 +1,5 @@
 // Runs a day: starts nodes, directors and players, injects the faults, and audits what was recorded. Throws
-// settings::BadSettings and std::runtime_error.
+// settings::SettingsError and std::runtime_error.
 #pragma once
 
 #include <cstdint>
@@ -22,7 +22,7 @@
 
 // The outcome of a run.
 struct RunResult {
-  std::vector<audit::Row> rows;
+  std::vector<audit::RuleResult> rows;
   PlayerStatistics playerStatistics;
   double service = 0;  // benefit earned by joins within the objective, over benefit requested
   std::size_t setUps = 0, overloadedNodes = 0;
--- a/src/lab/stand_in.cpp
+++ b/src/lab/stand_in.cpp
@@ -53,7 +53,7 @@
   startedAt_ = context.now();
   context.world->addNode(node, cell, startedAt_, coldStart);
   context.record->starts.push_back(
-      {node, startedAt_, context.day->deployment.terms.slotsByKind[0], coldStart});
+      {node, startedAt_, context.day->deployment.controlSettings.slotsByKind[0], coldStart});
 }
 StandIn::~StandIn() = default;
 
@@ -140,20 +140,20 @@
 
 void StandIn::setUp(Connection& connection, const media::Message& message) {
   auto session = std::make_unique<Session>();
-  media::Named named;
-  media::readUri(message.uri, named);
+  media::StreamUri named;
+  media::parseStreamUri(message.uri, named);
   const auto& rooms = context_.day->deployment.roomTypes;
   const auto room = std::find(rooms.begin(), rooms.end(), named.roomType);
   session->connection = &connection;
   session->pipelined = message.header("Pipelined-Requests");
-  session->viewer = media::unescaped(message.header("Lupinsill-Viewer"));
+  session->viewer = media::percentDecode(message.header("Lupinsill-Viewer"));
   session->title = titleIndex(named.title);
   session->roomType = room == rooms.end() ? 0 : static_cast<int>(room - rooms.begin());
   session->rung = named.rung;
   session->setUpCseq = message.cseq();
   if (connection.director.empty()) connection.director = directorOf(message.header("User-Agent"));
   const Micros now = context_.now();
-  audit::SetUpSeen seen;
+  audit::SetUpObservation seen;
   seen.at = now;
   seen.node = node;
   seen.director = connection.director;
@@ -169,15 +169,15 @@
   sessions_.push_back(std::move(session));
   if (exceedsColdCapacity(now)) {
     overloaded_ = true;
-    context_.record->nodesFallen.push_back("node " + std::to_string(node) + " at " +
-                                           std::to_string(now / 1000) + " ms");
+    context_.record->overloadedNodes.push_back("node " + std::to_string(node) + " at " +
+                                               std::to_string(now / 1000) + " ms");
     kill();
   }
 }
 
 // Whether more set-ups arrived within the fall time than a cold node can handle at its present warmth.
 bool StandIn::exceedsColdCapacity(Micros now) {
-  const ControlSettings& terms = context_.day->deployment.terms;
+  const ControlSettings& terms = context_.day->deployment.controlSettings;
   if (!coldStart || now - startedAt_ > terms.coldTime) return false;
   std::erase_if(recentSetUps_, [&](Micros at) { return at <= now - terms.fallTime; });
   recentSetUps_.push_back(now);
@@ -221,8 +221,8 @@
 }
 
 void StandIn::startSetUp(Session& session) {
-  audit::SetUpSeen& seen = context_.record->setUps[session.recordIndex];
-  const ControlSettings& terms = context_.day->deployment.terms;
+  audit::SetUpObservation& seen = context_.record->setUps[session.recordIndex];
+  const ControlSettings& terms = context_.day->deployment.controlSettings;
   int status = 0;
   if (faults.draining) status = 503;
   if (status == 0 && context_.world->streams(node) >= static_cast<std::size_t>(terms.slotsByKind[0]))
@@ -230,28 +230,28 @@
   if (status == 0 && terms.refusalThreshold > 0 &&
       context_.world->load(node, 0).link >= terms.refusalThreshold)
     status = 453;
-  if (status == 0 && chance_.comes(faults.failShare)) status = 500;
+  if (status == 0 && chance_.withProbability(faults.failShare)) status = 500;
   if (status != 0) {
     if (status != 500) seen.refusedAt = context_.now();
     seen.answeredAt = context_.now();
     answer(*session.connection, status, session.setUpCseq, "", true);
     return end(session);
   }
-  Micros setUpTime = chance_.span(context_.day->minSetUpTime, context_.day->maxSetUpTime);
-  if (chance_.comes(faults.slowShare)) setUpTime *= slowSetUpFactor;
+  Micros setUpTime = chance_.duration(context_.day->minSetUpTime, context_.day->maxSetUpTime);
+  if (chance_.withProbability(faults.slowShare)) setUpTime *= slowSetUpFactor;
   session.streamStartsAt = context_.now() + setUpTime;
 }
 
 void StandIn::startStream(Session& session) {
   const Micros now = context_.now();
-  audit::SetUpSeen& seen = context_.record->setUps[session.recordIndex];
+  audit::SetUpObservation& seen = context_.record->setUps[session.recordIndex];
   session.started = true;
   seen.ranAt = now;
   session.id = std::to_string(node) + "-" + std::to_string(++nextSession_);
   session.endsAt = now + context_.remainingLength(session.viewer);
   session.stream =
-      context_.world->play(node, std::atoi(session.viewer.c_str() + 1), session.roomType, session.rung,
-                           session.title, context_.metJoinObjective(session.viewer, session.roomType));
+      context_.world->startStream(node, std::atoi(session.viewer.c_str() + 1), session.roomType, session.rung,
+                                  session.title, context_.metJoinObjective(session.viewer, session.roomType));
   if (faults.loseAnswers) return;
   seen.answeredAt = now;
   answer(*session.connection, 200, session.setUpCseq, session.id, true);
@@ -262,14 +262,14 @@
   if (session.ended) return;
   session.ended = true;
   context_.record->setUps[session.recordIndex].endedAt = context_.now();
-  if (session.stream != 0) context_.world->stop(session.stream);
+  if (session.stream != 0) context_.world->stopStream(session.stream);
 }
 
 LoadReport StandIn::report(Micros late) const {
   const model::NodeLoad load = context_.world->load(node, late + context_.extraReportDelay);
   LoadReport loadReport;
   loadReport.linkUse = load.link;
-  if (context_.day->deployment.terms.uplinksReported) loadReport.uplinkUse = load.uplink;
+  if (context_.day->deployment.controlSettings.uplinksReported) loadReport.uplinkUse = load.uplink;
   return loadReport;
 }
 
@@ -280,8 +280,8 @@
   reply.status = status;
   reply.headers.emplace_back("CSeq", std::to_string(cseq));
   if (!session.empty()) reply.headers.emplace_back("Session", session + ";timeout=60");
-  if (load) reply.headers.emplace_back("Endpoint-Load-Metrics", media::orcaOf(report(answerLoadAge)));
-  const std::string bytes = reply.bytes();
+  if (load) reply.headers.emplace_back("Endpoint-Load-Metrics", media::formatOrca(report(answerLoadAge)));
+  const std::string bytes = reply.serialize();
   evbuffer_add(bufferevent_get_output(connection.bufferEvent.get()), bytes.data(), bytes.size());
 }
 
@@ -295,13 +295,13 @@
   message.headers = {{"CSeq", "1"},
                      {"Session", session.id},
                      {"Notify-Reason", reason},
-                     {"Endpoint-Load-Metrics", media::orcaOf(loadReport, delivered)}};
-  const std::string bytes = message.bytes();
+                     {"Endpoint-Load-Metrics", media::formatOrca(loadReport, delivered)}};
+  const std::string bytes = message.serialize();
   evbuffer_add(bufferevent_get_output(connection.bufferEvent.get()), bytes.data(), bytes.size());
 }
 
 void StandIn::sendMeasurements(Micros now) {
-  const ControlSettings& terms = context_.day->deployment.terms;
+  const ControlSettings& terms = context_.day->deployment.controlSettings;
   const bool measurementDue = now - measuredAt_ >= measurementInterval;
   const bool reportDue = terms.reportInterval > 0 && now - reportedAt_ >= terms.reportInterval;
   if (!measurementDue && !reportDue) return;
--- a/src/lab/stand_in.h
+++ b/src/lab/stand_in.h
@@ -103,7 +103,7 @@
   LoadReport report(Micros late) const;
 
   LabContext& context_;
-  model::Chance chance_;
+  model::RandomSource chance_;
   net::Listener listener_;
   int port_ = 0;
   bool dead_ = false;
--- a/tests/history_test.cpp
+++ b/tests/history_test.cpp
@@ -46,7 +46,7 @@
   const history::ReplayResult result = history::play(generated, faultCase.fault);
   INFO(faultCase.fault << '\n' << history::format(result));
   const history::ReplayResult withoutFault = history::play(generated);
-  const auto rule = static_cast<std::size_t>(lab::findPlant(faultCase.fault)->rule);
+  const auto rule = static_cast<std::size_t>(lab::findPlantedFault(faultCase.fault)->rule);
   for (std::size_t i = 0; i < result.ruleResults.size(); ++i) {
     CHECK((result.ruleResults[i].violations > 0) == (i + 1 == rule));
     CHECK(withoutFault.ruleResults[i].violations == 0);
