--- a/src/fleet/list_poller.cpp
+++ b/src/fleet/list_poller.cpp
@@ -25,7 +25,7 @@
   due_ = now;
 }
 
-bool ListPoller::expects(std::uint16_t queryId) {
+bool ListPoller::matchAnswer(std::uint16_t queryId) {
   for (std::uint32_t& slot : outstanding_)
     if (slot == (inUse | queryId)) return slot = 0, true;
   return false;
--- a/src/fleet/list_poller.h
+++ b/src/fleet/list_poller.h
@@ -30,7 +30,7 @@
   void serverMoved(Micros now);
   // Returns whether `queryId` belongs to an outstanding query, which is outstanding no longer after that.
   // Each id matches once.
-  bool expects(std::uint16_t queryId);
+  bool matchAnswer(std::uint16_t queryId);
   // Reports a complete, successful answer whose list is not older than the known one.
   void answered(Micros now);
 
--- a/src/fleet/liveness_check.cpp
+++ b/src/fleet/liveness_check.cpp
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-LivenessCheck::Verdict LivenessCheck::look(Micros now, bool connected, bool connecting) {
+LivenessCheck::Verdict LivenessCheck::evaluate(Micros now, bool connected, bool connecting) {
   if (!connected && refused_ >= deadAfterRefusals) return Verdict::dead;
   if (unanswered_ + refused_ >= deadAfterFailures && now - lastActivity_ >= silenceBeforeDead)
     return Verdict::dead;
--- a/src/fleet/liveness_check.h
+++ b/src/fleet/liveness_check.h
@@ -21,16 +21,16 @@
 
   explicit LivenessCheck(Micros now) : lastActivity_(now) {}
   // The node sent data, or a connection to it was established.
-  void heard(Micros now) {
+  void recordActivity(Micros now) {
     lastActivity_ = now;
     refused_ = unanswered_ = 0;
   }
   // A connection attempt failed. `refused`: the machine refused it, so no process listens there any more;
   // otherwise the attempt was not answered.
-  void failed(bool refused) { ++(refused ? refused_ : unanswered_); }
+  void recordConnectFailure(bool refused) { ++(refused ? refused_ : unanswered_); }
   // Returns what to do now about a node that serves subscriptions. `connected`: a connection to it is
   // established; `connecting`: an attempt is under way.
-  Verdict look(Micros now, bool connected, bool connecting);
+  Verdict evaluate(Micros now, bool connected, bool connecting);
 
  private:
   Micros lastActivity_;
--- a/src/platform/link.cpp
+++ b/src/platform/message_stream.cpp
@@ -1,4 +1,4 @@
-#include "platform/link.h"
+#include "platform/message_stream.h"
 
 #include <sys/socket.h>
 
--- a/src/platform/nodes.cpp
+++ b/src/platform/nodes.cpp
@@ -126,7 +126,7 @@
 
 void Nodes::handleConnected(NodeConnection& connection) {
   connection.lastActivity = net::unixNow();
-  connection.node.liveness.heard(net::unixNow());
+  connection.node.liveness.recordActivity(net::unixNow());
   for (const Message& message : std::exchange(connection.node.queuedMessages, {}))
     connection.stream.send(message);
   connectionCameUp_ = true;
@@ -197,7 +197,7 @@
   Node& node = connection.node;
   const auto awaitingConnect = std::exchange(connection.awaitingConnect, {});
   removeConnection(connection);
-  node.liveness.failed(refused);
+  node.liveness.recordConnectFailure(refused);
   for (Join* join : awaitingConnect) {
     const session::JoinId id = join->command.join;
     removeJoin(*join);
@@ -385,7 +385,7 @@
 
 void Nodes::handleMessage(NodeConnection& connection, Message& message) {
   Node& node = connection.node;
-  node.liveness.heard(net::unixNow());
+  node.liveness.recordActivity(net::unixNow());
   connection.lastActivity = net::unixNow();
   const auto it = node.joins.find(message.call);
   // Duplicates and messages for unknown calls are ignored.
@@ -495,7 +495,7 @@
     bool connected = false, connecting = false;
     for (const auto& connection : node->connections)
       (connection->stream.isConnected() ? connected : connecting) = true;
-    switch (node->liveness.look(now, connected, connecting)) {
+    switch (node->liveness.evaluate(now, connected, connecting)) {
       case fleet::LivenessCheck::Verdict::alive:
         break;
       case fleet::LivenessCheck::Verdict::probe:
--- a/src/platform/nodes.h
+++ b/src/platform/nodes.h
@@ -16,7 +16,7 @@
 #include "fleet/liveness_check.h"
 #include "fleet/membership.h"
 #include "net/handles.h"
-#include "platform/link.h"
+#include "platform/message_stream.h"
 #include "platform/viewers.h"
 #include "session/front.h"
 
--- a/src/platform/run.cpp
+++ b/src/platform/run.cpp
@@ -231,7 +231,7 @@
     const ssize_t size = recv(resolverSocket_.fd, bytes.data(), bytes.size(), MSG_DONTWAIT);
     if (size < 0) return;
     const auto answer = discovery::parseAnswer({bytes.data(), static_cast<std::size_t>(size)}, serviceName);
-    if (!answer || !listPoller_.expects(answer->queryId)) continue;
+    if (!answer || !listPoller_.matchAnswer(answer->queryId)) continue;
     const Micros now = net::unixNow();
     ListUpdate update;
     const fleet::UpdateResult outcome =
--- a/src/platform/viewers.cpp
+++ b/src/platform/viewers.cpp
@@ -123,7 +123,7 @@
 
 void Viewers::tick(Micros now) {
   closedConnections_.clear();
-  if (testPassed_) adoptionTimeLeft_ -= std::min(now - lastTick_, maxTickGap);
+  if (healthCheckPassed_) adoptionTimeLeft_ -= std::min(now - lastTick_, maxTickGap);
   lastTick_ = now;
   const auto expired = [&](const Release& release) { return now - release.endedAt > releaseLifetime; };
   std::erase_if(queuedReleases_, expired);
@@ -149,7 +149,7 @@
       reply.op = Op::tested;
       reply.call = message.call;
       reply.reasonCode = handler_.isReady() ? reason_code::testPassed : 0;
-      testPassed_ = testPassed_ || reply.reasonCode == reason_code::testPassed;
+      healthCheckPassed_ = healthCheckPassed_ || reply.reasonCode == reason_code::testPassed;
       viewer.stream.send(reply);
       return;
     }
--- a/src/platform/viewers.h
+++ b/src/platform/viewers.h
@@ -12,7 +12,7 @@
 
 #include "control_settings/control_settings.h"
 #include "net/handles.h"
-#include "platform/link.h"
+#include "platform/message_stream.h"
 #include "session/front.h"
 
 namespace lupinsill::platform {
@@ -118,7 +118,7 @@
   std::map<std::string, std::unique_ptr<CallEntry>> calls_;                 // by the ID on the wire
   std::map<session::CallId, CallEntry*> callsByCallId_;                     // by the ID in the front
 
-  bool testPassed_ = false;      // a health check has passed
+  bool healthCheckPassed_ = false;
   Micros adoptionTimeLeft_ = 0;  // counted from the first passed health check
   Micros lastTick_ = 0;
   std::deque<Release> queuedReleases_;  // waiting for a verified connection
--- a/tests/list_poller_test.cpp
+++ b/tests/list_poller_test.cpp
@@ -24,9 +24,9 @@
   now = listPoller.due();
   const std::uint16_t secondQuery = listPoller.nextQuery(now);
   CHECK(firstQuery != secondQuery);
-  CHECK(listPoller.expects(firstQuery));  // a late answer to an outstanding query
-  CHECK(!listPoller.expects(firstQuery));
-  CHECK(!listPoller.expects(static_cast<std::uint16_t>(secondQuery + 1)));
+  CHECK(listPoller.matchAnswer(firstQuery));  // a late answer to an outstanding query
+  CHECK(!listPoller.matchAnswer(firstQuery));
+  CHECK(!listPoller.matchAnswer(static_cast<std::uint16_t>(secondQuery + 1)));
   listPoller.answered(now);
   CHECK(listPoller.due() >= now + 200 * ms);
   CHECK(listPoller.due() <= now + second);
@@ -40,7 +40,7 @@
   for (int i = 0; i < 20; ++i) {
     now = listPoller.due();
     // The list in the answer is older, so answered() is not called.
-    CHECK(listPoller.expects(listPoller.nextQuery(now)));
+    CHECK(listPoller.matchAnswer(listPoller.nextQuery(now)));
     CHECK(listPoller.due() <= now + 200 * ms);
   }
 }
@@ -66,7 +66,7 @@
   const std::uint16_t oldQuery = listPoller.nextQuery(10 * second);
   listPoller.serverMoved(10 * second + ms);
   CHECK(listPoller.due() <= 10 * second + ms);
-  CHECK(!listPoller.expects(oldQuery));
+  CHECK(!listPoller.matchAnswer(oldQuery));
 }
 
 TEST_CASE("A node that answers no more connection attempts is dead before viewers have to be told") {
@@ -75,8 +75,8 @@
   Micros deadAt = 0;
   int probes = 0;
   for (; now < 20 * second && deadAt == 0; now += 25 * ms) {
-    const auto verdict = liveness.look(now, true, false);
-    if (verdict == LivenessCheck::Verdict::probe) ++probes, liveness.failed(false);
+    const auto verdict = liveness.evaluate(now, true, false);
+    if (verdict == LivenessCheck::Verdict::probe) ++probes, liveness.recordConnectFailure(false);
     if (verdict == LivenessCheck::Verdict::dead) deadAt = now;
   }
   CHECK(probes >= 3);
@@ -87,23 +87,23 @@
 TEST_CASE("A node that hangs but accepts connections is not dead") {
   LivenessCheck liveness(10 * second);
   for (Micros now = 10 * second; now < 60 * second; now += 25 * ms) {
-    const auto verdict = liveness.look(now, true, false);
+    const auto verdict = liveness.evaluate(now, true, false);
     REQUIRE(verdict != LivenessCheck::Verdict::dead);
-    if (verdict == LivenessCheck::Verdict::probe) liveness.heard(now);
+    if (verdict == LivenessCheck::Verdict::probe) liveness.recordActivity(now);
   }
 }
 
 TEST_CASE("A node is dead once its machine has refused two connections and none is left") {
   LivenessCheck liveness(10 * second);
   Micros now = 10 * second + ms;
-  CHECK(liveness.look(now, false, false) == LivenessCheck::Verdict::probe);
-  liveness.failed(true);
-  CHECK(liveness.look(now, false, false) == LivenessCheck::Verdict::alive);
+  CHECK(liveness.evaluate(now, false, false) == LivenessCheck::Verdict::probe);
+  liveness.recordConnectFailure(true);
+  CHECK(liveness.evaluate(now, false, false) == LivenessCheck::Verdict::alive);
   now += second / 2;
-  CHECK(liveness.look(now, true, false) != LivenessCheck::Verdict::dead);
-  CHECK(liveness.look(now, false, false) == LivenessCheck::Verdict::probe);
-  CHECK(liveness.look(now, false, true) == LivenessCheck::Verdict::alive);
-  liveness.failed(true);
-  CHECK(liveness.look(now, true, false) == LivenessCheck::Verdict::alive);
-  CHECK(liveness.look(now, false, false) == LivenessCheck::Verdict::dead);
+  CHECK(liveness.evaluate(now, true, false) != LivenessCheck::Verdict::dead);
+  CHECK(liveness.evaluate(now, false, false) == LivenessCheck::Verdict::probe);
+  CHECK(liveness.evaluate(now, false, true) == LivenessCheck::Verdict::alive);
+  liveness.recordConnectFailure(true);
+  CHECK(liveness.evaluate(now, true, false) == LivenessCheck::Verdict::alive);
+  CHECK(liveness.evaluate(now, false, false) == LivenessCheck::Verdict::dead);
 }
--- a/tests/endings_test.cpp
+++ b/tests/platform_races_test.cpp
@@ -1,7 +1,7 @@
 // Tests `lupinsill run` for races around the end of requests, subscriptions, connections and the process
 // itself. The adverse order of events is forced: the process is paused while both events happen, or a stub
 // peer delays its part.
-#include "platform_rig.h"
+#include "platform_harness.h"
 
 using namespace lupinsill;
 using namespace lupinsill::tests;
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -1,6 +1,6 @@
 // Tests `lupinsill run` as a process on loopback: its behaviour towards viewers, media nodes and the name
 // server.
-#include "platform_rig.h"
+#include "platform_harness.h"
 
 using namespace lupinsill;
 using namespace lupinsill::tests;
